--- a/bench/module.cpp
+++ b/bench/module.cpp
@@ -28,8 +28,8 @@
 void request(benchmark::State& state) {
     const int nodes = static_cast<int>(state.range(0));
     Scheduler scheduler(settings(), 1, 1'000'000);
-    ListEvent list{ListKind::restored, {}};
-    for (int i = 0; i < nodes; ++i) list.entries.push_back({.node = NodeId(1000 + i), .cell = i});
+    NodeListEvent list{NodeListKind::restored, {}};
+    for (int i = 0; i < nodes; ++i) list.entries.push_back({.node = NodeId(1000 + i), .shard = i});
     Event event = list;
     (void)scheduler.handle(1'000'000, std::span(&event, 1));
     std::mt19937_64 random(7);
@@ -47,16 +47,16 @@
         r.key = std::to_string(random() % 100'000);
         r.expiresMs = nowMs + 2000;
         r.units = 1 + static_cast<double>(random() % 3);
-        r.cell = random() % 10 < 3 ? -1 : static_cast<int>(random() % static_cast<unsigned>(nodes));
+        r.shard = random() % 10 < 3 ? -1 : static_cast<int>(random() % static_cast<unsigned>(nodes));
         event = r;
         for (const Action& action : scheduler.handle(nowMs, std::span(&event, 1))) {
-            if (const auto* send = std::get_if<Send>(&action))
+            if (const auto* send = std::get_if<SendAttempt>(&action))
                 flying.emplace_back(nowMs + 20, OutcomeEvent{.id = send->id,
                                                              .attempt = 0,
                                                              .node = send->node,
                                                              .outcome = Outcome::done,
-                                                             .tookMs = 20,
-                                                             .last = true});
+                                                             .durationMs = 20,
+                                                             .requestFinished = true});
         }
         for (; done < flying.size() && flying[done].first <= nowMs; ++done) {
             event = flying[done].second;
@@ -64,7 +64,7 @@
         }
         if (nowMs - reminderMs >= 10) {
             reminderMs = nowMs;
-            event = ReminderEvent{1};
+            event = TimerFiredEvent{1};
             benchmark::DoNotOptimize(scheduler.handle(nowMs, std::span(&event, 1)));
         }
     }
--- a/bench/spread.cpp
+++ b/bench/spread.cpp
@@ -25,7 +25,7 @@
 class Fleet {
 public:
     explicit Fleet(int holders) : scheduler_(settings(), 1, 1'000'000) {
-        ListEvent list{ListKind::restored, {}};
+        NodeListEvent list{NodeListKind::restored, {}};
         for (int i = 0; i < holders; ++i) list.entries.push_back(entry(i, NodeState::serving));
         give(list);
     }
@@ -47,12 +47,16 @@
         r.key = "piece-" + std::to_string(piece);
         r.volume = "v";
         r.expiresMs = nowMs_ + 2000;
-        r.cell = 0;
+        r.shard = 0;
         for (const Action& action : give(r)) {
-            const auto* send = std::get_if<Send>(&action);
+            const auto* send = std::get_if<SendAttempt>(&action);
             if (send == nullptr) continue;
             const NodeId node = send->node;
-            give(OutcomeEvent{.id = r.id, .node = node, .outcome = Outcome::done, .tookMs = 1, .last = true});
+            give(OutcomeEvent{.id = r.id,
+                              .node = node,
+                              .outcome = Outcome::done,
+                              .durationMs = 1,
+                              .requestFinished = true});
             return node;
         }
         return 0;
@@ -90,7 +94,7 @@
     std::printf("  the worst single holder is %.1f standard deviations of chance off\n", worst);
 
     const NodeEntry leaves = Fleet::entry(17, NodeState::draining);
-    fleet.give(ListEvent{ListKind::update, {leaves}});
+    fleet.give(NodeListEvent{NodeListKind::update, {leaves}});
     int moved = 0, least = 0, plain = 0;
     for (int i = 0; i < kPieces; ++i) {
         moved += fleet.ask(i) != before[i];
--- a/bench/swap.cpp
+++ b/bench/swap.cpp
@@ -27,7 +27,7 @@
                std::to_string(i % 256) + ":8443\" shard: " + std::to_string(i / 3) +
                " weight: " + std::to_string(1 + (i + number) % 4) + " rack: \"r" + std::to_string(i % 40) +
                "\" }\n";
-    return files::sealed(out, number);
+    return files::withTrailer(out, number);
 }
 
 double residentMb() {
@@ -39,20 +39,20 @@
 
 struct Bench {
     explicit Bench(const std::string& path)
-        : base(makeBase()),
-          log(clock, limits, LogForm::text),
+        : base(makeEventBase()),
+          log(clock, limits, LogFormat::text),
           source(base.get(), config(path), clock, limits, counters, log),
-          known(source.first()),
+          known(source.takeInitialNodes()),
           facade(settings(), 1, clock.nowMs(), known),
           dispatcher(facade, clock, limits, counters,
-               {[](double) {}, [](const PeerMessage&) {}, [](const std::string&) {}}, known),
+                     {[](double) {}, [](const PeerMessage&) {}, [](const std::string&) {}}, known),
           beat(base.get(), [this] { step(); }) {
-        source.start([this](const NodeList& list) { dispatcher.learn(list); });
+        source.start([this](const NodeList& list) { dispatcher.updateNodes(list); });
         lastMs = clock.nowMs();
         beat.start(0.1);
     }
-    static files::Config config(const std::string& path) {
-        files::Config out;
+    static files::NodeFileConfig config(const std::string& path) {
+        files::NodeFileConfig out;
         out.paths = {path};
         return out;
     }
@@ -67,7 +67,7 @@
         const double now = clock.nowMs();
         longestMs = std::max(longestMs, now - lastMs - 0.1);
         lastMs = now;
-        if (source.version() == wanted) return void(event_base_loopbreak(base.get()));
+        if (source.appliedVersion() == wanted) return void(event_base_loopbreak(base.get()));
         beat.start(0.1);
     }
     void until(std::uint64_t number) {
@@ -80,11 +80,11 @@
     Limits limits;
     Clock clock;
     Counters counters;
-    Owned<event_base> base;
+    LibeventPtr<event_base> base;
     Log log;
-    files::Source source;
+    files::NodeFileSource source;
     NodeList known;
-    Facade facade;
+    SchedulerFacade facade;
     Dispatcher dispatcher;
     Timer beat;
     double lastMs = 0;
@@ -120,7 +120,7 @@
         }
         NodeList whole{99, true, bench.known.nodes};
         const double startMs = bench.clock.nowMs();
-        bench.dispatcher.learn(whole);
+        bench.dispatcher.updateNodes(whole);
         std::printf("%6d nodes as one whole list: %.2f ms of the loop\n", nodes,
                     bench.clock.nowMs() - startMs);
     }
--- a/include/limedrum/scheduler.h
+++ b/include/limedrum/scheduler.h
@@ -28,21 +28,21 @@
 using RequestId = std::string;
 
 /// Whether running a request twice does harm.
-enum class Repeat { safe, keyed, unsafe };
+enum class Idempotency { idempotent, deduplicated, nonIdempotent };
 /// Keyed classes: the nodes that discard a request's repeats.
-enum class RepeatGroup { all, zone, cell };
+enum class DedupScope { all, zone, shard };
 
 struct ClassSettings {
     double aimMs = 0;       ///< answered within this: full worth
     double deadlineMs = 0;  ///< the client waits this long in all; above zero
-    Repeat repeat = Repeat::safe;
-    RepeatGroup group = RepeatGroup::all;
+    Idempotency idempotency = Idempotency::idempotent;
+    DedupScope dedupScope = DedupScope::all;
     double repeatWindowMs = 0;  ///< keyed: repeats are discarded this long after the first send
     bool ordered = false;       ///< requests with one key run one at a time
     bool stream = false;
     double worth = 1;
     double lateWorth = 0;  ///< part of the worth for an answer after the aim
-    bool dropped = false;  ///< only requests taken before have it
+    bool retired = false;  ///< only requests taken before have it
     bool operator==(const ClassSettings&) const = default;
 };
 
@@ -84,14 +84,14 @@
     double maxUnits = 1;
     double withinShare = 1;  ///< worth of units beyond the reserve, inside the share
     double spareWorth = 1;   ///< worth of units beyond both
-    bool countsOthers = false;
+    bool reportsUnitsViaOtherHosts = false;
     double meterMs = 0;  ///< period of the meter behind OutcomeEvent::usePct; 0: no meter
     int attemptCap = 1;
     bool mayCancel = false;
-    bool mayOverlap = false;  ///< a request may have two attempts out at once
-    bool mayTellPeers = false;
+    bool mayRunAttemptsInParallel = false;  ///< a request may have two attempts out at once
+    bool mayMessagePeers = false;
     bool mayProbe = false;
-    bool listOnRequest = false;
+    bool nodeListOnRequest = false;
     double maxRetryAfterMs = 0;  ///< 0: clients are given no advice
 };
 
@@ -99,15 +99,15 @@
 struct NodeEntry {
     NodeId node = 0;
     int zone = 0;
-    int cell = 0;  ///< the shard it holds
+    int shard = 0;  ///< the shard it holds
     NodeState state = NodeState::serving;
     double bootMs = 0;  ///< 0: long ago
     double weight = 0;  ///< part of the shard's work against its other holders; 0: not told
 };
 
-enum class ListKind { update, full, restored, unavailable };
-struct ListEvent {
-    ListKind kind = ListKind::update;
+enum class NodeListKind { update, full, restored, unavailable };
+struct NodeListEvent {
+    NodeListKind kind = NodeListKind::update;
     std::vector<NodeEntry> entries;
 };
 struct RequestEvent {
@@ -118,28 +118,28 @@
     std::string volume;
     double expiresMs = 0;
     double units = 1;
-    int cell = -1;  ///< -1: a new object, any node may take it
+    int shard = -1;  ///< -1: a new object, any node may take it
     int hostsOfVolume = 1;
 };
 struct StreamStartedEvent {
     RequestId id;
     int attempt = 0;
 };
-enum class Outcome { done, error, full, timedOut, connectFailed, reset, cancelled, moot };
+enum class Outcome { done, error, rejected, timedOut, connectFailed, reset, cancelled, notSent };
 struct OutcomeEvent {
     RequestId id;
     int attempt = 0;
     NodeId node = 0;
     Outcome outcome = Outcome::done;
-    double tookMs = 0;
-    bool last = false;          ///< the request is finished
-    double usePct = 0;          ///< the meter's figure, 0: none
-    double unitsElsewhere = 0;  ///< units served here for the volume through other hosts, since last told
+    double durationMs = 0;
+    bool requestFinished = false;   ///< the request is finished
+    double utilizationPct = 0;      ///< the meter's figure, 0: none
+    double unitsViaOtherHosts = 0;  ///< units served here for the volume through other hosts, since last told
 };
-struct AbandonedEvent {
+struct RequestAbandonedEvent {
     RequestId id;
 };
-struct ReminderEvent {
+struct TimerFiredEvent {
     std::int64_t token = 0;
 };
 /// The host shuts down: its requests have their answers by then, and no attempt begins any more after the
@@ -149,59 +149,61 @@
     double furtherAttemptUntilMs = 0;  ///< also the moment by which any attempt's last byte leaves
     double answerByMs = 0;
 };
-struct ProbedEvent {
+struct ProbeResultEvent {
     NodeId node = 0;
     bool answered = false;
 };
-struct PeerEvent {
+struct PeerMessageEvent {
     int sender = 0;
     std::string text;
 };
-using Event = std::variant<ListEvent, RequestEvent, StreamStartedEvent, OutcomeEvent, AbandonedEvent,
-                           ReminderEvent, ProbedEvent, PeerEvent, ShutdownEvent>;
+using Event =
+    std::variant<NodeListEvent, RequestEvent, StreamStartedEvent, OutcomeEvent, RequestAbandonedEvent,
+                 TimerFiredEvent, ProbeResultEvent, PeerMessageEvent, ShutdownEvent>;
 
-struct Send {
+struct SendAttempt {
     RequestId id;
     NodeId node = 0;
     double timeoutMs = 0;
     /// Its last byte leaves within so long, or never: a repeat that comes later might run twice.
-    double startWithinMs = std::numeric_limits<double>::infinity();
+    double lastByteWithinMs = std::numeric_limits<double>::infinity();
 };
-struct Cancel {
+struct CancelAttempt {
     RequestId id;
     int attempt = 0;
 };
 /// Final: turned away, harmless to repeat.
-struct Refuse {
+struct RefuseRequest {
     RequestId id;
     double retryAfterMs = 0;
 };
 /// Final: failed, no promise on effects.
-struct Fail {
+struct FailRequest {
     RequestId id;
 };
 struct SetTimer {
     double afterMs = 0;
     std::int64_t token = 0;
 };
-struct TellPeer {
-    int to = 0;        ///< the peer's number among the hosts
+struct SendPeerMessage {
+    int peer = 0;      ///< the peer's number among the hosts
     std::string text;  ///< 256 bytes at most
 };
-struct Subscribe {};
-struct Log {
+struct SubscribeToNodeList {};
+struct LogMessage {
     std::string text;
 };
-using Action = std::variant<Send, Cancel, Refuse, Fail, SetTimer, TellPeer, Subscribe, Log>;
+using Action = std::variant<SendAttempt, CancelAttempt, RefuseRequest, FailRequest, SetTimer, SendPeerMessage,
+                            SubscribeToNodeList, LogMessage>;
 
 /// How an instance sees a node now.
-struct NodeView {
+struct NodeStatus {
     NodeId node = 0;
-    int cell = 0;
+    int shard = 0;
     NodeState state = NodeState::serving;
-    bool chosen = false;  ///< new work of its cell goes to it
-    bool silent = false;  ///< takes work and answers nothing
-    double rate = 0;      ///< units a second that it can do; 0: not learned
+    bool receivesNewWork = false;  ///< new work of its cell goes to it
+    bool unresponsive = false;     ///< takes work and answers nothing
+    double unitsPerSecond = 0;     ///< units a second that it can do; 0: not learned
 };
 
 class Scheduler {
@@ -216,17 +218,17 @@
 
     /// Other settings from now on. Classes keep their numbers; requests go on by the class and the attempts
     /// that they were taken with. Throws like the constructor, and nothing has changed.
-    void retune(Settings settings);
+    void updateSettings(Settings settings);
 
     /// What was learned, for an instance that follows this one under the same number, and its levels of
     /// limits, which are no longer here.
-    [[nodiscard]] std::string handOver(double nowMs);
+    [[nodiscard]] std::string exportState(double nowMs);
     /// Goes on with it, for the nodes that are listed here. False: it is torn, stale or of another form, and
     /// nothing has changed.
-    [[nodiscard]] bool takeOver(double nowMs, const std::string& text);
+    [[nodiscard]] bool importState(double nowMs, const std::string& text);
 
     /// All nodes of the list that are not gone, by their numbers.
-    [[nodiscard]] std::vector<NodeView> view() const;
+    [[nodiscard]] std::vector<NodeStatus> nodeStatuses() const;
 
     /// Entries held in the tables of requests, volumes, keys, nodes and pending attempts.
     [[nodiscard]] std::size_t tableSize() const;
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -13,26 +13,27 @@
 
 using namespace fields;
 
-ListEvent listEvent(const Json& json) {
-    ListEvent out;
-    out.kind = word<ListKind>(text(need(json, "Kind"), "Kind"), "Kind",
-                              {{"update", ListKind::update},
-                               {"replace", ListKind::full},
-                               {"restored", ListKind::restored},
-                               {"unavailable", ListKind::unavailable}});
-    const Json* entries = find(json, "Hosts");
-    if (entries == nullptr && out.kind != ListKind::unavailable) complain("Hosts", "missing");
+NodeListEvent listEvent(const Json& json) {
+    NodeListEvent out;
+    out.kind = parseEnum<NodeListKind>(getString(requireField(json, "Kind"), "Kind"), "Kind",
+                                       {{"update", NodeListKind::update},
+                                        {"replace", NodeListKind::full},
+                                        {"restored", NodeListKind::restored},
+                                        {"unavailable", NodeListKind::unavailable}});
+    const Json* entries = findField(json, "Hosts");
+    if (entries == nullptr && out.kind != NodeListKind::unavailable) throwFieldError("Hosts", "missing");
     if (entries == nullptr) return out;
-    for (const Json& entry : list(*entries, "Hosts")) {
+    for (const Json& entry : getArray(*entries, "Hosts")) {
         NodeEntry node;
-        node.node = nodeId(need(entry, "Server"), "Server");
-        node.zone = small(entry, "Area", 0);
-        node.cell = small(entry, "Group", 0);
-        node.state = word<NodeState>(text(need(entry, "Availability"), "Availability"), "Availability",
-                                     {{"SERVING", NodeState::serving},
-                                      {"DRAINING", NodeState::draining},
-                                      {"DELETED", NodeState::gone}});
-        node.bootMs = number(entry, "BootTimeMs", 0.0);
+        node.node = getNodeId(requireField(entry, "Server"), "Server");
+        node.zone = getInt(entry, "Area", 0);
+        node.shard = getInt(entry, "Group", 0);
+        node.state = parseEnum<NodeState>(getString(requireField(entry, "Availability"), "Availability"),
+                                          "Availability",
+                                          {{"SERVING", NodeState::serving},
+                                           {"DRAINING", NodeState::draining},
+                                           {"DELETED", NodeState::gone}});
+        node.bootMs = getNumber(entry, "BootTimeMs", 0.0);
         out.entries.push_back(node);
     }
     return out;
@@ -40,36 +41,36 @@
 
 RequestEvent requestEvent(const Json& json) {
     RequestEvent out;
-    out.id = text(need(json, "Corr"), "Corr");
-    out.classNo = small(need(json, "Service"), "Service");
-    out.planNo = small(json, "PolicyNo", 0);
-    out.key = text(json, "Chunk", "");
-    out.volume = text(json, "Volume", "");
-    out.expiresMs = number(need(json, "ExpiresMs"), "ExpiresMs");
-    out.units = number(json, "Units", 1.0);
-    out.cell = small(json, "SlotNo", -1);
-    out.hostsOfVolume = small(json, "SetSize", 1);
+    out.id = getString(requireField(json, "Corr"), "Corr");
+    out.classNo = getInt(requireField(json, "Service"), "Service");
+    out.planNo = getInt(json, "PolicyNo", 0);
+    out.key = getString(json, "Chunk", "");
+    out.volume = getString(json, "Volume", "");
+    out.expiresMs = getNumber(requireField(json, "ExpiresMs"), "ExpiresMs");
+    out.units = getNumber(json, "Units", 1.0);
+    out.shard = getInt(json, "SlotNo", -1);
+    out.hostsOfVolume = getInt(json, "SetSize", 1);
     return out;
 }
 
 OutcomeEvent outcomeEvent(const Json& json) {
     OutcomeEvent out;
-    out.id = text(need(json, "Corr"), "Corr");
-    out.attempt = small(need(json, "Shot"), "Shot");
-    out.node = nodeId(need(json, "Server"), "Server");
-    out.outcome = word<Outcome>(text(need(json, "Verdict"), "Verdict"), "Verdict",
-                                {{"done", Outcome::done},
-                                 {"err", Outcome::error},
-                                 {"busy", Outcome::full},
-                                 {"etimedout", Outcome::timedOut},
-                                 {"econnrefused", Outcome::connectFailed},
-                                 {"econnreset", Outcome::reset},
-                                 {"ecanceled", Outcome::cancelled},
-                                 {"skipped", Outcome::moot}});
-    out.tookMs = number(need(json, "CostTimeMs"), "CostTimeMs");
-    out.last = truth(need(json, "Last"), "Last");
-    out.usePct = number(json, "UsePct", 0.0);
-    out.unitsElsewhere = number(json, "Delta", 0.0);
+    out.id = getString(requireField(json, "Corr"), "Corr");
+    out.attempt = getInt(requireField(json, "Shot"), "Shot");
+    out.node = getNodeId(requireField(json, "Server"), "Server");
+    out.outcome = parseEnum<Outcome>(getString(requireField(json, "Verdict"), "Verdict"), "Verdict",
+                                     {{"done", Outcome::done},
+                                      {"err", Outcome::error},
+                                      {"busy", Outcome::rejected},
+                                      {"etimedout", Outcome::timedOut},
+                                      {"econnrefused", Outcome::connectFailed},
+                                      {"econnreset", Outcome::reset},
+                                      {"ecanceled", Outcome::cancelled},
+                                      {"skipped", Outcome::notSent}});
+    out.durationMs = getNumber(requireField(json, "CostTimeMs"), "CostTimeMs");
+    out.requestFinished = getBool(requireField(json, "Last"), "Last");
+    out.utilizationPct = getNumber(json, "UsePct", 0.0);
+    out.unitsViaOtherHosts = getNumber(json, "Delta", 0.0);
     return out;
 }
 
@@ -78,41 +79,43 @@
     if (verb == "Submit") return requestEvent(json);
     if (verb == "Reply") return outcomeEvent(json);
     if (verb == "Opened")
-        return StreamStartedEvent{text(need(json, "Corr"), "Corr"), small(need(json, "Shot"), "Shot")};
-    if (verb == "Abandoned") return AbandonedEvent{text(need(json, "Corr"), "Corr")};
-    if (verb == "Reminder") return ReminderEvent{whole(need(json, "KeyBack"), "KeyBack")};
+        return StreamStartedEvent{getString(requireField(json, "Corr"), "Corr"),
+                                  getInt(requireField(json, "Shot"), "Shot")};
+    if (verb == "Abandoned") return RequestAbandonedEvent{getString(requireField(json, "Corr"), "Corr")};
+    if (verb == "Reminder") return TimerFiredEvent{getInt64(requireField(json, "KeyBack"), "KeyBack")};
     if (verb == "Pong") {
-        return ProbedEvent{nodeId(need(json, "Server"), "Server"),
-                           text(need(json, "Verdict"), "Verdict") == "done"};
+        return ProbeResultEvent{getNodeId(requireField(json, "Server"), "Server"),
+                                getString(requireField(json, "Verdict"), "Verdict") == "done"};
     }
     if (verb == "Datagram")
-        return PeerEvent{small(need(json, "Sender"), "Sender"), text(need(json, "Content"), "Content")};
-    complain("verb", "unknown verb '" + verb + "'");
+        return PeerMessageEvent{getInt(requireField(json, "Sender"), "Sender"),
+                                getString(requireField(json, "Content"), "Content")};
+    throwFieldError("verb", "unknown verb '" + verb + "'");
 }
 
 struct ActionToJson {
     int instance;
     Json make(const char* verb) const { return Json{{"verb", verb}, {"I", instance}}; }
-    Json operator()(const Send& a) const {
+    Json operator()(const SendAttempt& a) const {
         Json out = make("Place");
         out["Corr"] = a.id;
         out["Server"] = a.node;
         if (a.timeoutMs > 0) out["TryForMs"] = a.timeoutMs;
         return out;
     }
-    Json operator()(const Cancel& a) const {
+    Json operator()(const CancelAttempt& a) const {
         Json out = make("AbortAttempt");
         out["Corr"] = a.id;
         out["Shot"] = a.attempt;
         return out;
     }
-    Json operator()(const Refuse& a) const {
+    Json operator()(const RefuseRequest& a) const {
         Json out = make("Deny");
         out["Corr"] = a.id;
         if (a.retryAfterMs > 0) out["NotBeforeForMs"] = a.retryAfterMs;
         return out;
     }
-    Json operator()(const Fail& a) const {
+    Json operator()(const FailRequest& a) const {
         Json out = make("DropRequest");
         out["Corr"] = a.id;
         return out;
@@ -123,18 +126,18 @@
         out["KeyBack"] = a.token;
         return out;
     }
-    Json operator()(const TellPeer& a) const {
+    Json operator()(const SendPeerMessage& a) const {
         Json out = make("Tell");
-        out["Target"] = a.to;
+        out["Target"] = a.peer;
         out["Content"] = a.text;
         return out;
     }
-    Json operator()(const Subscribe&) const {
+    Json operator()(const SubscribeToNodeList&) const {
         Json out = make("Track");
         out["Enable"] = true;
         return out;
     }
-    Json operator()(const Log& a) const { return faultOrLog("SayLog", a.text); }
+    Json operator()(const LogMessage& a) const { return faultOrLog("SayLog", a.text); }
     Json faultOrLog(const char* verb, const std::string& reason) const {
         Json out = make(verb);
         out["ReasonText"] = reason;
@@ -144,27 +147,27 @@
 
 }  // namespace
 
-std::string Link::answer(const std::string& line) {
-    ++lines_;
-    std::string batchName = "line " + std::to_string(lines_);
+std::string BenchSession::handleBatch(const std::string& line) {
+    ++lineCount_;
+    std::string batchName = "line " + std::to_string(lineCount_);
     try {
         const Json batch = Json::parse(line, nullptr, false);
-        if (batch.is_discarded()) complain("batch", "not JSON");
-        if (!batch.is_object()) complain("batch", "not an object");
-        const std::int64_t round = whole(need(batch, "round"), "round");
+        if (batch.is_discarded()) throwFieldError("batch", "not JSON");
+        if (!batch.is_object()) throwFieldError("batch", "not an object");
+        const std::int64_t round = getInt64(requireField(batch, "round"), "round");
         batchName = "batch " + std::to_string(round);
-        const double nowMs = number(need(batch, "ClockMs"), "ClockMs");
+        const double nowMs = getNumber(requireField(batch, "ClockMs"), "ClockMs");
         Json decisions = Json::array();
         std::map<int, std::vector<Event>> waiting;
-        for (const Json& entry : list(need(batch, "inbox"), "inbox")) {
-            const int instance = small(need(entry, "I"), "I");
-            const std::string verb = text(need(entry, "verb"), "verb");
+        for (const Json& entry : getArray(requireField(batch, "inbox"), "inbox")) {
+            const int instance = getInt(requireField(entry, "I"), "I");
+            const std::string verb = getString(requireField(entry, "verb"), "verb");
             if (verb == "Born") {
-                const Json& seed = need(entry, "RngSeed");
-                if (!seed.is_number_integer()) complain("RngSeed", "not a whole number");
-                const Json& info = need(entry, "Info");
-                if (!info.is_object()) complain("Info", "not an object");
-                const Settings parsed = decodeSettings(info).module;
+                const Json& seed = requireField(entry, "RngSeed");
+                if (!seed.is_number_integer()) throwFieldError("RngSeed", "not a whole number");
+                const Json& info = requireField(entry, "Info");
+                if (!info.is_object()) throwFieldError("Info", "not an object");
+                const Settings parsed = decodeSettings(info).scheduler;
                 waiting.erase(instance);
                 instances_.erase(instance);
                 try {
--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -16,14 +16,14 @@
     using std::runtime_error::runtime_error;
 };
 
-class Link {
+class BenchSession {
 public:
     /// One batch in, one reply out, both without the line's end. Throws WireError on malformed input.
-    [[nodiscard]] std::string answer(const std::string& line);
+    [[nodiscard]] std::string handleBatch(const std::string& line);
 
 private:
     std::map<int, Scheduler> instances_;
-    long long lines_ = 0;
+    long long lineCount_ = 0;
 };
 
 }  // namespace limedrum::benchlink
--- a/src/cli/nodes.cpp
+++ b/src/cli/nodes.cpp
@@ -15,17 +15,17 @@
 namespace martencove::cli {
 namespace {
 
-using membership::Draft;
-using membership::Ruling;
+using membership::OfferOutcome;
+using membership::ParsedNodeFile;
 
-std::vector<Draft> read(const std::vector<std::string>& paths) {
-    return files::readNodeFiles(files::filesOf(paths), Limits().nodeFileBytes, false);
+std::vector<ParsedNodeFile> read(const std::vector<std::string>& paths) {
+    return files::readNodeFiles(files::expandPaths(paths), Limits().maxNodeFileBytes, false);
 }
 
 /// Prints why a version does not come into force; true: it does.
-bool passes(const membership::Verdict& verdict) {
+bool passes(const membership::OfferResult& verdict) {
     for (const auto& problem : verdict.problems) std::fprintf(stderr, "%s\n", problem.text().c_str());
-    return verdict.ruling == Ruling::accepted || verdict.ruling == Ruling::unchanged;
+    return verdict.outcome == OfferOutcome::accepted || verdict.outcome == OfferOutcome::unchanged;
 }
 
 struct Asked {
@@ -48,49 +48,50 @@
 }  // namespace
 
 int checkNodes(const std::vector<std::string>& paths) {
-    membership::Gate gate{membership::Rules{}};
-    const membership::Verdict verdict = gate.offer(read(paths), Clock().nowMs());
+    membership::MembershipManager gate{membership::MembershipRules{}};
+    const membership::OfferResult verdict = gate.offerVersion(read(paths), Clock().nowMs());
     for (const std::string& note : verdict.notes) std::fprintf(stderr, "%s\n", note.c_str());
-    if (!passes(verdict)) return kRefused;
+    if (!passes(verdict)) return kExitRejected;
     std::printf("version %llu: %zu nodes\n", static_cast<unsigned long long>(verdict.version),
-                gate.inForce()->members.size());
-    return kGood;
+                gate.current()->members.size());
+    return kExitOk;
 }
 
 int diffNodes(const std::string& before, const std::string& after) {
-    membership::Gate gate{membership::Rules{}};
+    membership::MembershipManager gate{membership::MembershipRules{}};
     const double now = Clock().nowMs();
-    if (!passes(gate.offer(read({before}), now))) return kRefused;
-    const membership::MembershipPtr old = gate.inForce();
-    const std::vector<Draft> drafts = read({after});
-    const membership::Verdict verdict = gate.offer(drafts, now);
-    if (verdict.ruling != Ruling::accepted) {
+    if (!passes(gate.offerVersion(read({before}), now))) return kExitRejected;
+    const membership::MembershipPtr old = gate.current();
+    const std::vector<ParsedNodeFile> drafts = read({after});
+    const membership::OfferResult verdict = gate.offerVersion(drafts, now);
+    if (verdict.outcome != OfferOutcome::accepted) {
         // Told all the same, where it is sound by itself.
-        membership::Gate alone{membership::Rules{}};
-        if (alone.offer(drafts, now).ruling == Ruling::accepted)
-            for (const std::string& line : membership::describe(old.get(), *alone.inForce()))
+        membership::MembershipManager alone{membership::MembershipRules{}};
+        if (alone.offerVersion(drafts, now).outcome == OfferOutcome::accepted)
+            for (const std::string& line : membership::describeChanges(old.get(), *alone.current()))
                 std::printf("%s\n", line.c_str());
-        return passes(verdict) ? kGood : kRefused;
+        return passes(verdict) ? kExitOk : kExitRejected;
     }
-    for (const std::string& line : membership::describe(old.get(), *gate.inForce()))
+    for (const std::string& line : membership::describeChanges(old.get(), *gate.current()))
         std::printf("%s\n", line.c_str());
-    return kGood;
+    return kExitOk;
 }
 
 int sealNodes(const std::string& path) {
-    const files::Content content = files::readWhole(path, Limits().nodeFileBytes);
+    const files::FileContent content = files::readRegularFile(path, Limits().maxNodeFileBytes);
     if (!content.error.empty()) {
         std::fprintf(stderr, "%s: %s\n", path.c_str(), content.error.c_str());
-        return kFailed;
+        return kExitFailed;
     }
     try {
-        const std::string error = files::replaceDurably(path, files::sealAgain(path, content.bytes));
+        const std::string error =
+            files::writeFileAtomically(path, files::updateCountAndTrailer(path, content.bytes));
         if (error.empty()) return checkNodes({path});
         std::fprintf(stderr, "%s\n", error.c_str());
-        return kFailed;
+        return kExitFailed;
     } catch (const std::invalid_argument& error) {
         std::fprintf(stderr, "%s\n", error.what());
-        return kRefused;
+        return kExitRejected;
     }
 }
 
@@ -98,11 +99,11 @@
     const auto address = parseAddress(text);
     if (!address) {
         std::fprintf(stderr, "not an address: %s\n", text.c_str());
-        return kFailed;
+        return kExitFailed;
     }
-    const Owned<event_base> base = makeBase();
+    const LibeventPtr<event_base> base = makeEventBase();
     Asked asked{base.get(), 0, {}};
-    const Owned<evhttp_connection> connection(
+    const LibeventPtr<evhttp_connection> connection(
         evhttp_connection_base_new(base.get(), nullptr, address->host.c_str(), address->port));
     evhttp_connection_set_timeout(connection.get(), 5);
     evhttp_request* request = evhttp_request_new(answered, &asked);
@@ -111,11 +112,11 @@
         event_base_dispatch(base.get());
     if (asked.code == 200) {
         std::fputs(asked.body.c_str(), stdout);
-        return kGood;
+        return kExitOk;
     }
     std::fprintf(stderr, asked.code == 0 ? "%s: no answer\n" : "%s: takes no nodes from files\n",
                  text.c_str());
-    return kFailed;
+    return kExitFailed;
 }
 
 }  // namespace martencove::cli
--- a/src/cli/nodes.h
+++ b/src/cli/nodes.h
@@ -6,9 +6,9 @@
 
 namespace martencove::cli {
 
-inline constexpr int kGood = 0;
-inline constexpr int kFailed = 1;   ///< something could not be read, written or reached
-inline constexpr int kRefused = 3;  ///< what was checked is not fit to come into force; 2 is wrong usage
+inline constexpr int kExitOk = 0;
+inline constexpr int kExitFailed = 1;    ///< something could not be read, written or reached
+inline constexpr int kExitRejected = 3;  ///< what was checked is not fit to come into force; 2 is wrong usage
 
 /// Judges what stands at `paths` as a start would; problems go to standard error, a line each.
 [[nodiscard]] int checkNodes(const std::vector<std::string>& paths);
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -29,98 +29,103 @@
 
 class Program::Impl {
 public:
-    Impl(Config config, [[maybe_unused]] Extras extras, LogForm form)
+    Impl(Config config, [[maybe_unused]] OperatorSections extras, LogFormat form)
         : config_(std::move(config)),
-          base_(makeBase()),
+          base_(makeEventBase()),
           log_(clock_, config_.limits, form),
-          tick_(base_.get(), [this] { dispatcher_.tick(); }),
+          tickTimer_(base_.get(), [this] { dispatcher_.tick(); }),
 #ifdef MARTENCOVE_OPERATOR
-          files_(openFiles(extras)),
+          nodeFiles_(openNodeFiles(extras)),
 #endif
-          facade_(config_.site.module, config_.seed, clock_.nowMs(), config_.known),
-          dispatcher_(facade_, clock_, config_.limits, counters_, ports(), config_.known),
-          pool_(base_.get(), clock_, config_.limits, counters_),
-          taken_(askForSockets()),
-          front_(base_.get(), config_.listen, dispatcher_, pool_, config_.site, config_.limits, log_,
-                 taken("http")),
-          term_(base_.get(), SIGTERM, [this] { shutDown(); }),
-          interrupt_(base_.get(), SIGINT, [this] { shutDown(); }),
-          hangup_(base_.get(), SIGHUP, [this] { reload(); }),
-          usr1_(base_.get(), SIGUSR1, [this] { printCounters(); }),
-          end_(base_.get(), [this] { endWhenNothingIsOwed(); }),
-          open_(base_.get(), [this] { open(); }) {
+          scheduler_(config_.settings.scheduler, config_.seed, clock_.nowMs(), config_.knownNodes),
+          dispatcher_(scheduler_, clock_, config_.limits, counters_, dispatcherCallbacks(),
+                      config_.knownNodes),
+          httpPool_(base_.get(), clock_, config_.limits, counters_),
+          inherited_(requestHandover()),
+          httpFront_(base_.get(), config_.listen, dispatcher_, httpPool_, config_.settings, config_.limits,
+                     log_, inheritedSocket("http")),
+          sigterm_(base_.get(), SIGTERM, [this] { shutDown(); }),
+          sigint_(base_.get(), SIGINT, [this] { shutDown(); }),
+          sighup_(base_.get(), SIGHUP, [this] { reload(); }),
+          sigusr1_(base_.get(), SIGUSR1, [this] { logCounters(); }),
+          exitTimer_(base_.get(), [this] { exitWhenDrained(); }),
+          firstListTimer_(base_.get(), [this] { startAccepting(); }) {
         if (config_.peerListen)
             peers_.emplace(
                 base_.get(), *config_.peerListen, config_.peers, config_.limits, counters_, log_,
-                [this](const PeerMessage& message) { dispatcher_.hear(message); }, taken("peers"));
-        const auto told = [this](const NodeList& list) { dispatcher_.learn(list); };
+                [this](const PeerMessage& message) { dispatcher_.receivePeerMessage(message); },
+                inheritedSocket("peers"));
+        const auto told = [this](const NodeList& list) { dispatcher_.updateNodes(list); };
         bool watch = true;
 #ifdef MARTENCOVE_OPERATOR
-        if (files_) {
+        if (nodeFiles_) {
             watch = false;
-            files_->start(told);
-            front_.page("/nodes", [this] { return files_->statusText(); });
-            front_.readyWhen([this] { return files_->ready(); });
+            nodeFiles_->start(told);
+            httpFront_.addTextPage("/nodes", [this] { return nodeFiles_->statusText(); });
+            httpFront_.setReadinessCheck([this] { return nodeFiles_->ready(); });
         }
         if (extras.nbd) {
             nbdPool_.emplace(base_.get(), clock_, config_.limits, counters_);
             nbdFront_.emplace(base_.get(), std::move(*extras.nbd), dispatcher_, *nbdPool_, config_.limits,
-                              log_, taken("nbd"));
+                              log_, inheritedSocket("nbd"));
         }
 #endif
 #ifdef MARTENCOVE_ETCD
         if (extras.etcd) {
             watch = false;
-            etcd_.emplace(base_.get(), *extras.etcd, config_.seed, config_.limits, counters_, log_, told);
+            etcdSource_.emplace(base_.get(), *extras.etcd, config_.seed, config_.limits, counters_, log_,
+                                told);
         }
 #endif
         if (watch && !config_.discovery) throw ConfigError("discovery: missing");
         if (watch)
-            discovery_.emplace(base_.get(), *config_.discovery, config_.known, config_.seed, config_.limits,
-                               counters_, log_, told);
+            discovery_.emplace(base_.get(), *config_.discovery, config_.knownNodes, config_.seed,
+                               config_.limits, counters_, log_, told);
 #ifdef MARTENCOVE_XDS
-        if (extras.xds)
-            xds_.emplace(base_.get(), *extras.xds, config_.limits, counters_,
-                         [this] { return dispatcher_.view(); });
+        if (extras.xdsListen)
+            xdsServer_.emplace(base_.get(), *extras.xdsListen, config_.limits, counters_,
+                               [this] { return dispatcher_.nodeStatuses(); });
 #endif
         if (config_.ops)
-            ops_.emplace(base_.get(), *config_.ops,
-                         ops::Ports{[this] { return takesClients(); }, [this] { front_.evacuate(true); },
-                                    [this] { front_.evacuate(false); }},
-                         clock_, config_.limits, counters_, log_);
-        if (!sharedFolder().empty())
-            giver_.emplace(
-                base_.get(), handoverPath(), [this] { return sockets(); },
-                [this] { return facade_.handOver(clock_.nowMs()); }, [this](bool on) { stepAside(on); },
-                counters_, log_);
+            opsFront_.emplace(base_.get(), *config_.ops,
+                              ops::Callbacks{[this] { return isAcceptingClients(); },
+                                             [this] { httpFront_.setEvacuating(true); },
+                                             [this] { httpFront_.setEvacuating(false); }},
+                              clock_, config_.limits, counters_, log_);
+        if (!handoverFolder().empty())
+            handoverServer_.emplace(
+                base_.get(), handoverSocketPath(), [this] { return socketsToHandOver(); },
+                [this] { return scheduler_.exportState(clock_.nowMs()); },
+                [this](bool on) { setYielding(on); }, counters_, log_);
         if (discovery_ && config_.limits.listPushed) {
-            front_.hold();
-            if (nbdFront_) nbdFront_->hold();
-            discovery_->onHeard([this] { open(); });
-            open_.start(config_.limits.firstListMs);
+            httpFront_.pauseAccepting();
+            if (nbdFront_) nbdFront_->pauseAccepting();
+            discovery_->onFirstList([this] { startAccepting(); });
+            firstListTimer_.start(config_.limits.firstListTimeoutMs);
         } else
-            open();
+            startAccepting();
         dispatcher_.tick();
-        if (const Grace& grace = config_.limits.grace; grace.wholeMs > 0 && grace.mayFail() < 1)
+        if (const DrainGraceBudget& grace = config_.limits.drainGrace;
+            grace.totalMs > 0 && grace.toleratedFailures() < 1)
             log_.warn("start", "the grace on leaving servers is too short for a call that fails",
-                      {{"DrainGraceMs", static_cast<std::int64_t>(grace.wholeMs)}});
+                      {{"DrainGraceMs", static_cast<std::int64_t>(grace.totalMs)}});
         log_.info("start", "listens",
                   {{"name", config_.name},
-                   {"listen", config_.listen.text()},
-                   {"nodes", config_.known.nodes.size()}});
+                   {"listen", config_.listen.toString()},
+                   {"nodes", config_.knownNodes.nodes.size()}});
     }
 
     void run() {
         event_base_dispatch(base_.get());
-        dispatcher_.letGo();
-        printCounters();
+        dispatcher_.releaseRequests();
+        logCounters();
     }
 
 private:
-    DispatcherPorts ports() {
-        return {[this](double ms) { tick_.start(ms); },
+    DispatcherCallbacks dispatcherCallbacks() {
+        return {[this](double ms) { tickTimer_.start(ms); },
                 [this](const PeerMessage& message) {
-                    peers_ ? peers_->tell(message) : counters_.add("peer_unsent");
+                    peers_ ? peers_->send(message) : counters_.add("peer_unsent");
                 },
                 [this](const std::string& note) { log_.info("module", note); }};
     }
@@ -128,150 +133,156 @@
     // Requests go on meanwhile: what a running program can take over is put in its place, nothing else moves.
     void reload() {
         try {
-            const Config next = readConfigAgain();
-            limedrum::requireKeys(config_.source, next.source);
-            limedrum::Site site = limedrum::retuned(config_.site, next.site);
-            facade_.retune(site.module);  // the last that can throw: from here on all of it is taken
-            config_.site = std::move(site);
-            config_.limits.retune(next.limits);
-            longestDeadline_.change(clock_.nowMs(), config_.limits.longestDeadlineMs);
-            if (shutdown_) schedule();
-            config_.source = next.source;
+            const Config next = reloadConfig();
+            limedrum::requireKeys(config_.sourceJson, next.sourceJson);
+            limedrum::ProgramSettings site = limedrum::mergeSettings(config_.settings, next.settings);
+            scheduler_.updateSettings(
+                site.scheduler);  // the last that can throw: from here on all of it is taken
+            config_.settings = std::move(site);
+            config_.limits.updateReloadable(next.limits);
+            longestDeadline_.update(clock_.nowMs(), config_.limits.longestDeadlineMs);
+            if (shutdownSchedule_) updateShutdownSchedule();
+            config_.sourceJson = next.sourceJson;
             counters_.add("config_read");
             log_.info("configuration", "read",
-                      {{"discovery", next.discovery ? next.discovery->text() : std::string("none")}});
-            for (const auto& [field, value] : config_.fixed) {
-                const auto now = next.fixed.find(field);
-                if (now == next.fixed.end() || now->second != value)
+                      {{"discovery", next.discovery ? next.discovery->toString() : std::string("none")}});
+            for (const auto& [field, value] : config_.startOnlyFields) {
+                const auto now = next.startOnlyFields.find(field);
+                if (now == next.startOnlyFields.end() || now->second != value)
                     log_.warn("configuration", "differs, which waits for the next start", {{"field", field}});
             }
-            if (discovery_ && next.discovery) discovery_->moveTo(*next.discovery);
-            if (peers_) peers_->reach(next.peers);
+            if (discovery_ && next.discovery) discovery_->switchAddress(*next.discovery);
+            if (peers_) peers_->setPeers(next.peers);
         } catch (const std::exception& error) {
             counters_.add("config_bad");
             log_.warn("configuration", "not taken, the old one stands", {{"reason", error.what()}});
         }
     }
 
-    [[nodiscard]] bool takesClients() const {
-        return opened_ && !aside_ && !shutdown_ && !front_.evacuating();
+    [[nodiscard]] bool isAcceptingClients() const {
+        return acceptingStarted_ && !yielding_ && !shutdownSchedule_ && !httpFront_.evacuating();
     }
 
     // A process takes over from another where the platform runs both with one folder, as it does where there
     // is a second address.
-    [[nodiscard]] std::string sharedFolder() const {
+    [[nodiscard]] std::string handoverFolder() const {
         const char* folder = std::getenv("TMPDIR");
         return config_.ops && folder != nullptr ? folder : "";
     }
-    [[nodiscard]] std::string handoverPath() const { return sharedFolder() + "/martencove.handover"; }
-    [[nodiscard]] std::optional<handover::Taken> askForSockets() {
-        if (sharedFolder().empty()) return std::nullopt;
-        auto taken = handover::ask(handoverPath(), config_.limits);
+    [[nodiscard]] std::string handoverSocketPath() const { return handoverFolder() + "/martencove.handover"; }
+    [[nodiscard]] std::optional<handover::ReceivedHandover> requestHandover() {
+        if (handoverFolder().empty()) return std::nullopt;
+        auto taken = handover::requestHandover(handoverSocketPath(), config_.limits);
         if (taken) log_.info("handover", "takes over the sockets of another process");
         return taken;
     }
-    [[nodiscard]] int taken(const char* name) { return taken_ ? taken_->take(name) : -1; }
-    [[nodiscard]] std::map<std::string, int> sockets() const {
-        std::map<std::string, int> out{{"http", front_.listener()}};
+    [[nodiscard]] int inheritedSocket(const char* name) {
+        return inherited_ ? inherited_->takeSocket(name) : -1;
+    }
+    [[nodiscard]] std::map<std::string, int> socketsToHandOver() const {
+        std::map<std::string, int> out{{"http", httpFront_.listenerFd()}};
         if (peers_) out["peers"] = peers_->descriptor();
-        if (nbdFront_) out["nbd"] = nbdFront_->listener();
+        if (nbdFront_) out["nbd"] = nbdFront_->listenerFd();
         std::erase_if(out, [](const auto& s) { return s.second < 0; });
         return out;
     }
-    void stepAside(bool on) {
-        aside_ = on;
-        front_.yield(on);
-        if (nbdFront_) on ? nbdFront_->hold() : nbdFront_->open();
-        if (peers_) peers_->yield(on);
+    void setYielding(bool on) {
+        yielding_ = on;
+        httpFront_.setListenerYielded(on);
+        if (nbdFront_) on ? nbdFront_->pauseAccepting() : nbdFront_->resumeAccepting();
+        if (peers_) peers_->setYielded(on);
     }
 
     // The list that a program starts with may be old, and what the agent on its machine holds counts as told:
     // clients wait in the listener's queue until that has come, but not for one that stays silent.
-    void open() {
-        if (std::exchange(opened_, true)) return;
-        open_.stop();
-        if (taken_) {
+    void startAccepting() {
+        if (std::exchange(acceptingStarted_, true)) return;
+        firstListTimer_.stop();
+        if (inherited_) {
             // After the first list, which says of which nodes it is.
-            const bool whole = facade_.takeOver(clock_.nowMs(), taken_->memory);
+            const bool whole = scheduler_.importState(clock_.nowMs(), inherited_->learnedState);
             counters_.add(whole ? "handover_learned" : "handover_fresh");
             log_.info("handover", whole ? "goes on with what the other process has learned" : "learns anew",
-                      {{"bytes", taken_->memory.size()}});
-            taken_->ready();
+                      {{"bytes", inherited_->learnedState.size()}});
+            inherited_->notifyReady();
         }
-        if (giver_) giver_->listen();
+        if (handoverServer_) handoverServer_->listen();
         if (!discovery_ || !config_.limits.listPushed) return;  // it never held
-        if (!discovery_->heard()) {
+        if (!discovery_->hasReceivedList()) {
             counters_.add("started_unheard");
             log_.warn("start", "no list has come, clients are taken with the one from the configuration");
         }
-        front_.open();
-        if (nbdFront_) nbdFront_->open();
+        httpFront_.resumeAccepting();
+        if (nbdFront_) nbdFront_->resumeAccepting();
     }
 
     // New connections still come for a while, and what was taken is finished.
     void shutDown() {
-        if (shutdown_) return;
-        shutdownSeenMs_ = clock_.nowMs();
-        shutdown_.emplace();
-        if (discovery_ && config_.limits.listPushed) open();
-        front_.drain();
-        schedule();
+        if (shutdownSchedule_) return;
+        shutdownStartMs_ = clock_.nowMs();
+        shutdownSchedule_.emplace();
+        if (discovery_ && config_.limits.listPushed) startAccepting();
+        httpFront_.startDraining();
+        updateShutdownSchedule();
     }
 
     // Also where a new configuration brings the end nearer, while it is under way.
-    void schedule() {
+    void updateShutdownSchedule() {
         const double now = clock_.nowMs();
-        const auto steps = ShutdownSchedule::forLongestDeadline(longestDeadline_.at(now));
-        shutdown_ = shutdown_->earlierOf(steps.startingAt(shutdownSeenMs_));
-        const auto spanOf = [this](double ms) { return std::llround(ms - shutdownSeenMs_); };
+        const auto steps = ShutdownSchedule::forLongestDeadline(longestDeadline_.deadlineMsAt(now));
+        shutdownSchedule_ = shutdownSchedule_->earlierOf(steps.startingAt(shutdownStartMs_));
+        const auto spanOf = [this](double ms) { return std::llround(ms - shutdownStartMs_); };
         log_.info("end", "finishing what was taken",
-                  {{"open", dispatcher_.open()},
-                   {"first_attempts_ms", spanOf(shutdown_->firstAttemptUntilMs)},
-                   {"answers_ms", spanOf(shutdown_->answerByMs)},
-                   {"exit_ms", spanOf(shutdown_->exitByMs)},
-                   {"sigkill_after_ms", spanOf(shutdown_->killMs)}});
-        dispatcher_.shutDown(*shutdown_);
+                  {{"open", dispatcher_.openRequestCount()},
+                   {"first_attempts_ms", spanOf(shutdownSchedule_->firstAttemptUntilMs)},
+                   {"answers_ms", spanOf(shutdownSchedule_->answerByMs)},
+                   {"exit_ms", spanOf(shutdownSchedule_->exitByMs)},
+                   {"sigkill_after_ms", spanOf(shutdownSchedule_->earliestSigkillMs)}});
+        dispatcher_.shutDown(*shutdownSchedule_);
         // Where another process has the listener, nothing new can come here, and the sooner this one is gone
         // the sooner its clients turn to the other.
-        end_.start(aside_ ? 0 : shutdown_->acceptUntilMs - now);
+        exitTimer_.start(yielding_ ? 0 : shutdownSchedule_->acceptUntilMs - now);
     }
 
     // Again and again from the listeners' close on.
-    void endWhenNothingIsOwed() {
+    void exitWhenDrained() {
         const double now = clock_.nowMs();
-        const bool late = now >= shutdown_->partialRequestUntilMs;
-        const bool closed = front_.closeListener(late);
-        front_.endConnections(late);
-        if (nbdFront_) nbdFront_->close();
-        const bool quiet =
-            closed && dispatcher_.open() == 0 && front_.quiet() && (!nbdFront_ || nbdFront_->quiet());
-        if (!quiet && now < shutdown_->exitByMs)
-            return end_.start(std::min(config_.limits.shutdownLookMs, shutdown_->exitByMs - now));
+        const bool late = now >= shutdownSchedule_->partialRequestUntilMs;
+        const bool closed = httpFront_.closeListener(late);
+        httpFront_.closeFinishedConnections(late);
+        if (nbdFront_) nbdFront_->startShutdown();
+        const bool quiet = closed && dispatcher_.openRequestCount() == 0 && httpFront_.isDrained() &&
+                           (!nbdFront_ || nbdFront_->isDrained());
+        if (!quiet && now < shutdownSchedule_->exitByMs)
+            return exitTimer_.start(
+                std::min(config_.limits.shutdownCheckIntervalMs, shutdownSchedule_->exitByMs - now));
         // After a hold-up beyond what the schedule allows for, what has come meanwhile is still to be read,
         // and answers are still to be written.
-        if (!quiet && !std::exchange(lastTurn_, true)) return end_.start(ShutdownSchedule::kTurnMs);
-        front_.writeOut();
-        log_.info("end", "exits", {{"open", dispatcher_.open()}, {"connections", front_.connections()}});
+        if (!quiet && !std::exchange(finalTurnUsed_, true))
+            return exitTimer_.start(ShutdownSchedule::kLoopTurnMs);
+        httpFront_.flushOutput();
+        log_.info("end", "exits",
+                  {{"open", dispatcher_.openRequestCount()}, {"connections", httpFront_.connectionCount()}});
         event_base_loopbreak(base_.get());
     }
 
-    void printCounters() const {
+    void logCounters() const {
         LogFields fields;
-        for (const auto& [name, count] : counters_.all()) fields.emplace_back(name, count);
+        for (const auto& [name, count] : counters_.snapshot()) fields.emplace_back(name, count);
         log_.info("counters", "now", fields);
 #ifdef MARTENCOVE_OPERATOR
-        if (!files_) return;
-        log_.info("nodes", "status", files_->statusFields());
+        if (!nodeFiles_) return;
+        log_.info("nodes", "status", nodeFiles_->statusFields());
 #endif
     }
 
 #ifdef MARTENCOVE_OPERATOR
     // What is in force there is what the program starts with: the platform's list does not count then.
-    std::unique_ptr<files::Source> openFiles(const Extras& extras) {
-        if (!extras.nodes) return nullptr;
-        auto out = std::make_unique<files::Source>(base_.get(), *extras.nodes, clock_, config_.limits,
-                                                   counters_, log_);
-        config_.known = out->first();
+    std::unique_ptr<files::NodeFileSource> openNodeFiles(const OperatorSections& extras) {
+        if (!extras.nodeFiles) return nullptr;
+        auto out = std::make_unique<files::NodeFileSource>(base_.get(), *extras.nodeFiles, clock_,
+                                                           config_.limits, counters_, log_);
+        config_.knownNodes = out->takeInitialNodes();
         return out;
     }
 #endif
@@ -279,44 +290,44 @@
     Config config_;
     Clock clock_;
     Counters counters_;
-    Owned<event_base> base_;
+    LibeventPtr<event_base> base_;
     Log log_;
-    std::optional<Peers> peers_;
-    Timer tick_;
+    std::optional<PeerSocket> peers_;
+    Timer tickTimer_;
 #ifdef MARTENCOVE_OPERATOR
-    std::unique_ptr<files::Source> files_;  // in discovery's place
+    std::unique_ptr<files::NodeFileSource> nodeFiles_;  // in discovery's place
 #endif
-    Facade facade_;
+    SchedulerFacade scheduler_;
     Dispatcher dispatcher_;
-    NodePool pool_;
-    std::optional<Discovery> discovery_;
+    HttpNodeConnectionPool httpPool_;
+    std::optional<DiscoveryClient> discovery_;
 #ifdef MARTENCOVE_ETCD
-    std::optional<etcd::Source> etcd_;  // in discovery's place
+    std::optional<etcd::NodeSource> etcdSource_;  // in discovery's place
 #endif
-    std::optional<handover::Taken> taken_;  // from the process before
-    HttpFront front_;
-    std::optional<handover::Giver> giver_;
-    bool aside_ = false;
-    std::optional<ops::Front> ops_;
-    std::optional<nbd::Pool> nbdPool_;
+    std::optional<handover::ReceivedHandover> inherited_;  // from the process before
+    HttpFront httpFront_;
+    std::optional<handover::HandoverServer> handoverServer_;
+    bool yielding_ = false;
+    std::optional<ops::Front> opsFront_;
+    std::optional<nbd::NbdNodeConnectionPool> nbdPool_;
     std::optional<nbd::Front> nbdFront_;
 #ifdef MARTENCOVE_XDS
-    std::optional<xds::Server> xds_;
+    std::optional<xds::Server> xdsServer_;
 #endif
-    SignalWatch term_;
-    SignalWatch interrupt_;
-    SignalWatch hangup_;
-    SignalWatch usr1_;
-    Timer end_;
-    Timer open_;
-    bool opened_ = false;
+    SignalHandler sigterm_;
+    SignalHandler sigint_;
+    SignalHandler sighup_;
+    SignalHandler sigusr1_;
+    Timer exitTimer_;
+    Timer firstListTimer_;
+    bool acceptingStarted_ = false;
     LongestDeadline longestDeadline_{config_.limits.longestDeadlineMs};
-    std::optional<ShutdownSchedule> shutdown_;  // its moments, once it has begun
-    double shutdownSeenMs_ = 0;
-    bool lastTurn_ = false;  // the one after its last moment
+    std::optional<ShutdownSchedule> shutdownSchedule_;  // its moments, once it has begun
+    double shutdownStartMs_ = 0;
+    bool finalTurnUsed_ = false;  // the one after its last moment
 };
 
-Program::Program(Config config, Extras extras, LogForm form)
+Program::Program(Config config, OperatorSections extras, LogFormat form)
     : impl_(std::make_unique<Impl>(std::move(config), std::move(extras), form)) {}
 Program::~Program() = default;
 void Program::run() { impl_->run(); }
--- a/src/cli/program.h
+++ b/src/cli/program.h
@@ -12,15 +12,15 @@
 namespace martencove {
 
 #ifdef MARTENCOVE_OPERATOR
-using Extras = OperatorConfig;
+using OperatorSections = OperatorConfig;
 #else
-struct Extras {};  ///< this build reads no operator's file
+struct OperatorSections {};  ///< this build reads no operator's file
 #endif
 
 class Program {
 public:
     /// Throws ConfigError or std::runtime_error, with the reason, where it cannot start.
-    Program(Config config, Extras extras, LogForm form);
+    Program(Config config, OperatorSections extras, LogFormat form);
     ~Program();
     Program(const Program&) = delete;
     Program& operator=(const Program&) = delete;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -20,7 +20,7 @@
 
 Address address(const std::string& text, const char* name) {
     const auto parsed = parseAddress(text);
-    if (!parsed) complain(name, "not an address: '" + text + "'");
+    if (!parsed) throwFieldError(name, "not an address: '" + text + "'");
     return *parsed;
 }
 enum class First { variables, file };
@@ -28,8 +28,9 @@
 /// Of a variable and the file's value the one that goes first, else the other.
 std::string told(const Json& json, First first, const char* var, const char* field) {
     const std::string value = variable(var);
-    const bool inFile = find(json, field) != nullptr;
-    return value.empty() || (first == First::file && inFile) ? text(need(json, field), field) : value;
+    const bool inFile = findField(json, field) != nullptr;
+    return value.empty() || (first == First::file && inFile) ? getString(requireField(json, field), field)
+                                                             : value;
 }
 
 std::uint64_t seedOf(const std::string& hex) {
@@ -40,13 +41,13 @@
     } catch (const std::exception&) {
         used = 0;
     }
-    if (used == 0 || used != hex.size()) complain("seed", "not a hex number");
+    if (used == 0 || used != hex.size()) throwFieldError("seed", "not a hex number");
     return value;
 }
 
 std::size_t count(const Json& json, const char* name, std::size_t otherwise, int least) {
-    const int value = small(json, name, static_cast<int>(otherwise));
-    if (value < least) complain(name, "below " + std::to_string(least));
+    const int value = getInt(json, name, static_cast<int>(otherwise));
+    if (value < least) throwFieldError(name, "below " + std::to_string(least));
     return static_cast<std::size_t>(value);
 }
 
@@ -54,82 +55,89 @@
     Config out;
     out.name = told(json, first, "NODE_NAME", "name");
     out.listen = address(told(json, first, "NODE_LISTEN", "listen"), "listen");
-    if (!variable("NODE_DISCOVERY").empty() || find(json, "discovery") != nullptr)
+    if (!variable("NODE_DISCOVERY").empty() || findField(json, "discovery") != nullptr)
         out.discovery = address(told(json, first, "NODE_DISCOVERY", "discovery"), "discovery");
-    if (!variable("NODE_OPS").empty() || find(json, "ops") != nullptr)
+    if (!variable("NODE_OPS").empty() || findField(json, "ops") != nullptr)
         out.ops = address(told(json, first, "NODE_OPS", "ops"), "ops");
-    out.seed = seedOf(text(need(json, "seed"), "seed"));
-    if (const Json* listen = find(json, "peer_listen")) {
-        out.peerListen = address(text(*listen, "peer_listen"), "peer_listen");
-        for (const Json& peer : list(need(json, "peers"), "peers"))
-            out.peers.push_back(address(text(peer, "peers"), "peers"));
+    out.seed = seedOf(getString(requireField(json, "seed"), "seed"));
+    if (const Json* listen = findField(json, "peer_listen")) {
+        out.peerListen = address(getString(*listen, "peer_listen"), "peer_listen");
+        for (const Json& peer : getArray(requireField(json, "peers"), "peers"))
+            out.peers.push_back(address(getString(peer, "peers"), "peers"));
     }
-    out.site = limedrum::decodeSettings(need(json, "settings"));
+    out.settings = limedrum::decodeSettings(requireField(json, "settings"));
     try {
-        if (const Json* known = find(json, "known")) out.known = decodeNodeList(*known);
+        if (const Json* known = findField(json, "known")) out.knownNodes = decodeNodeList(*known);
     } catch (const FieldError& error) {
-        complain("known", error.what());
+        throwFieldError("known", error.what());
     }
 
     Limits& limits = out.limits;
-    limits.descriptors = count(part(json, "limits"), "sockets", limits.descriptors, 64);
-    limits.spareDescriptors = std::min(limits.spareDescriptors, limits.descriptors / 4);
+    limits.maxDescriptors = count(getObject(json, "limits"), "sockets", limits.maxDescriptors, 64);
+    limits.reservedDescriptors = std::min(limits.reservedDescriptors, limits.maxDescriptors / 4);
     // A quarter of the memory for answers on their way, and an eighth of that for one of them.
-    const std::size_t megabytes = count(part(json, "limits"), "memory_mb", 32, 16);
-    limits.answersHeld = megabytes * 1024 * 1024 / 4;
-    limits.answerBody = limits.answersHeld / 8;
+    const std::size_t megabytes = count(getObject(json, "limits"), "memory_mb", 32, 16);
+    limits.maxAnswerMemoryBytes = megabytes * 1024 * 1024 / 4;
+    limits.maxBufferedAnswerBytes = limits.maxAnswerMemoryBytes / 8;
     // A list is decoded entry by entry: its text is what it costs.
-    limits.listBody = std::max(limits.listBody, megabytes * 1024 * 1024 / 8);
+    limits.maxListBodyBytes = std::max(limits.maxListBodyBytes, megabytes * 1024 * 1024 / 8);
     // Clients hold more connections than nodes, which take several requests on each. No more than a scored
     // day allows at most.
-    const std::size_t both = std::min<std::size_t>(limits.descriptors, 1024) - limits.spareDescriptors;
-    limits.nodeConnections = both * 2 / 5;
-    limits.clientConnections = both - limits.nodeConnections;
-    limits.keptConnections = limits.clientConnections / 2;
-    limits.lingering = std::min(limits.lingering, limits.clientConnections / 4);
+    const std::size_t both = std::min<std::size_t>(limits.maxDescriptors, 1024) - limits.reservedDescriptors;
+    limits.maxNodeConnections = both * 2 / 5;
+    limits.maxClientConnections = both - limits.maxNodeConnections;
+    limits.maxKeepAliveConnections = limits.maxClientConnections / 2;
+    limits.maxLingeringConnections =
+        std::min(limits.maxLingeringConnections, limits.maxClientConnections / 4);
     // All clients together may have as much before them as answers that are held.
-    limits.passAhead =
-        std::clamp<std::size_t>(limits.answersHeld / limits.clientConnections, 16 * 1024, limits.passAhead);
+    limits.maxStreamBufferBytes = std::clamp<std::size_t>(
+        limits.maxAnswerMemoryBytes / limits.maxClientConnections, 16 * 1024, limits.maxStreamBufferBytes);
     // And half as much of what they send before its turn, each up to one largest request.
-    limits.earlyBytes = std::clamp<std::size_t>(limits.answersHeld / 2 / limits.clientConnections,
-                                                limits.headers, limits.headers + limits.body);
-    limits.openRequests =
-        std::min(limits.openRequests, static_cast<std::size_t>(std::max(1, out.site.openRequests)));
-    limits.notTakenBackMs = out.site.module.maxRetryAfterMs;
-    if (!(out.site.dialMs > 0)) complain("DialTimeoutMs", "not above 0");
-    if (!(out.site.nodeIdleMs >= 0)) complain("ConnIdleMs", "below 0");
-    limits.dialMs = out.site.dialMs;
-    limits.dialAgainMs = limits.dialMs / 4;
-    limits.nodeIdleMs = out.site.nodeIdleMs;
-    const limedrum::Settings& module = out.site.module;
+    limits.maxReadAheadBytes =
+        std::clamp<std::size_t>(limits.maxAnswerMemoryBytes / 2 / limits.maxClientConnections,
+                                limits.maxHeaderBytes, limits.maxHeaderBytes + limits.maxRequestBodyBytes);
+    limits.maxOpenRequests =
+        std::min(limits.maxOpenRequests, static_cast<std::size_t>(std::max(1, out.settings.maxOpenRequests)));
+    limits.overloadRetryAfterMs = out.settings.scheduler.maxRetryAfterMs;
+    if (!(out.settings.connectTimeoutMs > 0)) throwFieldError("DialTimeoutMs", "not above 0");
+    if (!(out.settings.nodeIdleTimeoutMs >= 0)) throwFieldError("ConnIdleMs", "below 0");
+    limits.connectTimeoutMs = out.settings.connectTimeoutMs;
+    limits.secondConnectDelayMs = limits.connectTimeoutMs / 4;
+    limits.nodeIdleTimeoutMs = out.settings.nodeIdleTimeoutMs;
+    const limedrum::Settings& module = out.settings.scheduler;
     const auto rests = [&](bool onRequest, double mustAskInMs) {
-        return callRests(onRequest, module.hosts, mustAskInMs, limits.watchAgainMs, limits.watchEachMs);
+        return makeRetryDelays(onRequest, module.hosts, mustAskInMs, limits.minDiscoveryRetryMs,
+                               limits.discoveryCallSpacingMs);
     };
-    limits.list = rests(module.listOnRequest, module.rules.mustAskInMs);
-    limits.etcd = rests(true, 0);
-    limits.listPushed = !module.listOnRequest;
+    limits.discoveryRetry = rests(module.nodeListOnRequest, module.rules.mustAskInMs);
+    limits.etcdRetry = rests(true, 0);
+    limits.listPushed = !module.nodeListOnRequest;
     if (const double graceMs = module.rules.drainGraceMs; limits.listPushed && graceMs > 0) {
-        limits.grace = divideGrace(graceMs, limits.agentLateMs);
-        limits.watchWaitMs = std::min(limits.watchWaitMs, limits.grace.holdMs);
-        limits.watchGraceMs = std::min(limits.watchGraceMs, limits.grace.silentMs);
+        limits.drainGrace = divideDrainGrace(graceMs, limits.minAgentAnswerTimeoutMs);
+        limits.longPollMs = std::min(limits.longPollMs, limits.drainGrace.longPollMs);
+        limits.longPollSlackMs = std::min(limits.longPollSlackMs, limits.drainGrace.answerTimeoutMs);
         // Drawn from half to one and a half times their mean, and the same after each failure.
-        limits.list.leastMs = limits.list.mostMs = std::min(limits.list.leastMs, limits.grace.restMs / 1.5);
-        limits.firstListMs = std::min(limits.firstListMs, graceMs * 2 / 5);
+        limits.discoveryRetry.minMs = limits.discoveryRetry.maxMs =
+            std::min(limits.discoveryRetry.minMs, limits.drainGrace.maxRetryDelayMs / 1.5);
+        limits.firstListTimeoutMs = std::min(limits.firstListTimeoutMs, graceMs * 2 / 5);
     } else if (!limits.listPushed) {
-        limits.asked = divideAsked(limits.toldAfterMs, graceMs, limits.watchGraceMs);
-        limits.watchWaitMs = std::min(limits.watchWaitMs, limits.asked.holdMs);
+        limits.onRequestList =
+            divideOnRequestListTime(limits.listPropagationMs, graceMs, limits.longPollSlackMs);
+        limits.longPollMs = std::min(limits.longPollMs, limits.onRequestList.longPollMs);
         // Drawn up to one and a half times their mean.
-        limits.list.firstMs = std::min(limits.list.firstMs, limits.asked.restMs);
-        limits.list.mostMs = std::min(limits.list.mostMs, limits.asked.restMs / 1.5);
-        limits.list.leastMs = std::min(limits.list.leastMs, limits.list.mostMs);
+        limits.discoveryRetry.initialMs =
+            std::min(limits.discoveryRetry.initialMs, limits.onRequestList.maxRetryDelayMs);
+        limits.discoveryRetry.maxMs =
+            std::min(limits.discoveryRetry.maxMs, limits.onRequestList.maxRetryDelayMs / 1.5);
+        limits.discoveryRetry.minMs = std::min(limits.discoveryRetry.minMs, limits.discoveryRetry.maxMs);
     }
-    for (const auto& c : out.site.module.classes)
+    for (const auto& c : out.settings.scheduler.classes)
         limits.longestDeadlineMs = std::max(limits.longestDeadlineMs, c.deadlineMs);
     for (const char* field : {"name", "listen", "limits", "peer_listen", "ops"}) {
-        if (const Json* value = find(json, field)) out.fixed[field] = value->dump();
+        if (const Json* value = findField(json, field)) out.startOnlyFields[field] = value->dump();
     }
-    out.source = json;
-    out.source.erase("known");
+    out.sourceJson = json;
+    out.sourceJson.erase("known");
     return out;
 }
 
@@ -147,15 +155,15 @@
 
 Json readJsonFile(const std::string& path, const char* name) {
     std::ifstream file(path);
-    if (!file) complain(name, "cannot read '" + path + "'");
+    if (!file) throwFieldError(name, "cannot read '" + path + "'");
     std::ostringstream content;
     content << file.rdbuf();
     Json json = Json::parse(content.str(), nullptr, false);
-    if (!json.is_object()) complain(name, "not a JSON object");
+    if (!json.is_object()) throwFieldError(name, "not a JSON object");
     return json;
 }
 
 Config readConfig() { return read(First::variables); }
-Config readConfigAgain() { return read(First::file); }
+Config reloadConfig() { return read(First::file); }
 
 }  // namespace martencove
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -30,12 +30,12 @@
     std::optional<Address> peerListen;
     std::optional<Address> ops;  ///< the second address, for operators' tools
     std::vector<Address> peers;  ///< by their numbers in the settings
-    NodeList known;
-    limedrum::Site site;
+    NodeList knownNodes;
+    limedrum::ProgramSettings settings;
     Limits limits;
-    nlohmann::json source;  ///< the file, less its list of nodes
+    nlohmann::json sourceJson;  ///< the file, less its list of nodes
     /// What a running program cannot take over, as text by field: a change waits for the next start.
-    std::map<std::string, std::string> fixed;
+    std::map<std::string, std::string> startOnlyFields;
 };
 
 /// Throws limedrum::fields::FieldError, beginning with `name`.
@@ -44,6 +44,6 @@
 /// Reads `NODE_CONFIG` and the variables beside it, which go before the file's values. Throws ConfigError.
 [[nodiscard]] Config readConfig();
 /// Reads the file again. It is newer than the variables beside it: its values go first.
-[[nodiscard]] Config readConfigAgain();
+[[nodiscard]] Config reloadConfig();
 
 }  // namespace martencove
--- a/src/config/nbd_config.cpp
+++ b/src/config/nbd_config.cpp
@@ -2,7 +2,7 @@
 
 namespace martencove {
 
-const NbdExport* NbdConfig::find(const std::string& name) const {
+const NbdExport* NbdConfig::findExport(const std::string& name) const {
     for (const NbdExport& e : exports) {
         if (e.name == name) return &e;
     }
--- a/src/config/nbd_config.h
+++ b/src/config/nbd_config.h
@@ -12,14 +12,14 @@
 
 struct NbdExport {
     std::string name;
-    std::uint64_t bytes = 0;
+    std::uint64_t sizeBytes = 0;
     std::string volume;
     int planNo = 0;
     int shard = 0;
-    int hosts = 1;
+    int hostsOfVolume = 1;
     bool readOnly = false;
-    int readClass = 0;
-    int writeClass = 0;
+    int readClassNo = 0;
+    int writeClassNo = 0;
     double readDeadlineMs = 0;
     double writeDeadlineMs = 0;
 };
@@ -27,9 +27,9 @@
     Address listen;
     double unitBytes = 4096;
     std::vector<NbdExport> exports;
-    std::map<std::string, Address> nodes;  ///< where a node, by its name in discovery, speaks NBD
+    std::map<std::string, Address> nodeAddresses;  ///< where a node, by its name in discovery, speaks NBD
 
-    [[nodiscard]] const NbdExport* find(const std::string& name) const;
+    [[nodiscard]] const NbdExport* findExport(const std::string& name) const;
 };
 
 }  // namespace martencove
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 namespace pb = google::protobuf;
-using limedrum::fields::complain;
 using limedrum::fields::FieldError;
+using limedrum::fields::throwFieldError;
 
 /// A message of the file, with the places where its fields stand.
 template <typename Message>
@@ -47,38 +47,39 @@
 
 Address address(const std::string& text, const char* field) {
     const auto parsed = parseAddress(text);
-    if (!parsed) complain(field, text.empty() ? "missing" : "not an address: '" + text + "'");
+    if (!parsed) throwFieldError(field, text.empty() ? "missing" : "not an address: '" + text + "'");
     return *parsed;
 }
 const std::string& need(const std::string& text, const char* field) {
-    if (text.empty()) complain(field, "missing");
+    if (text.empty()) throwFieldError(field, "missing");
     return text;
 }
 double within(double value, double least, double most, const char* field) {
-    if (!(value >= least && value <= most)) complain(field, "out of range");
+    if (!(value >= least && value <= most)) throwFieldError(field, "out of range");
     return value;
 }
 
-files::Config nodesOf(const config::NodesSection& in, const limedrum::Site& site, const Limits& limits) {
-    files::Config out;
-    if (in.path().empty()) complain("path", "missing");
+files::NodeFileConfig nodesOf(const config::NodesSection& in, const limedrum::ProgramSettings& site,
+                              const Limits& limits) {
+    files::NodeFileConfig out;
+    if (in.path().empty()) throwFieldError("path", "missing");
     for (const std::string& path : in.path()) out.paths.push_back(need(path, "path"));
-    out.keep = in.keep();
-    if (in.has_depart_s()) out.rules.departMs = within(in.depart_s(), 0, 86'400, "depart_s") * 1000;
-    if (in.has_most_lost()) out.rules.mostLostPart = within(in.most_lost(), 0, 1, "most_lost");
-    if (in.has_look_s()) out.lookMs = within(in.look_s(), 0.05, 3600, "look_s") * 1000;
-    out.rules.shards = site.shards;
-    out.rules.nodes = limits.nodes;
+    out.keptVersionPath = in.keep();
+    if (in.has_depart_s()) out.rules.removalDrainMs = within(in.depart_s(), 0, 86'400, "depart_s") * 1000;
+    if (in.has_most_lost()) out.rules.maxLostFraction = within(in.most_lost(), 0, 1, "most_lost");
+    if (in.has_look_s()) out.pollIntervalMs = within(in.look_s(), 0.05, 3600, "look_s") * 1000;
+    out.rules.shardCount = site.shardCount;
+    out.rules.maxNodes = limits.maxNodes;
     return out;
 }
 
-NbdConfig nbdOf(const Section<config::NbdSection>& section, limedrum::Site& site) {
+NbdConfig nbdOf(const Section<config::NbdSection>& section, limedrum::ProgramSettings& site) {
     NbdConfig out;
     section.checked([&](const config::NbdSection& in) {
         out.listen = address(in.listen(), "listen");
         if (in.has_unit_bytes()) out.unitBytes = in.unit_bytes();
-        if (!(out.unitBytes > 0)) complain("unit_bytes", "not above 0");
-        for (const auto& [name, dial] : in.nodes()) out.nodes[name] = address(dial, "nodes");
+        if (!(out.unitBytes > 0)) throwFieldError("unit_bytes", "not above 0");
+        for (const auto& [name, dial] : in.nodes()) out.nodeAddresses[name] = address(dial, "nodes");
     });
     for (int i = 0; i < section.in.exports_size(); ++i) {
         section.inner(section.in.exports(i), "exports", i).checked([&](const config::NbdExport& in) {
@@ -90,12 +91,13 @@
 
 }  // namespace
 
-OperatorConfig readOperator(const std::string& path, limedrum::Site& site, const Limits& limits) {
-    const files::Content content = files::readWhole(path, limits.operatorBytes);
+OperatorConfig readOperatorConfig(const std::string& path, limedrum::ProgramSettings& site,
+                                  const Limits& limits) {
+    const files::FileContent content = files::readRegularFile(path, limits.maxOperatorFileBytes);
     if (!content.error.empty()) throw ConfigError(path + ": " + content.error);
     config::Operator message;
     pb::TextFormat::ParseInfoTree tree;
-    if (const auto error = files::parseText(content.bytes, message, &tree))
+    if (const auto error = files::parseTextFormat(content.bytes, message, &tree))
         throw ConfigError(path + ':' + std::to_string(error->line) + ':' + std::to_string(error->column) +
                           ": " + error->reason);
 
@@ -104,7 +106,7 @@
     if (message.has_nodes() && message.has_etcd())
         throw ConfigError(path + ": nodes and etcd: storage nodes come from one of them");
     if (message.has_nodes())
-        out.nodes = top.inner(message.nodes(), "nodes").checked([&](const auto& in) {
+        out.nodeFiles = top.inner(message.nodes(), "nodes").checked([&](const auto& in) {
             return nodesOf(in, site, limits);
         });
     if (message.has_etcd())
@@ -113,7 +115,7 @@
         });
     if (message.has_nbd()) out.nbd = nbdOf(top.inner(message.nbd(), "nbd"), site);
     if (message.has_xds())
-        out.xds = top.inner(message.xds(), "xds").checked([](const auto& in) {
+        out.xdsListen = top.inner(message.xds(), "xds").checked([](const auto& in) {
             return address(in.listen(), "listen");
         });
     return out;
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -18,15 +18,15 @@
 
 /// Sections that are not in the file are off.
 struct OperatorConfig {
-    std::optional<files::Config> nodes;
+    std::optional<files::NodeFileConfig> nodeFiles;
     std::optional<EtcdConfig> etcd;
     std::optional<NbdConfig> nbd;
-    std::optional<Address> xds;
+    std::optional<Address> xdsListen;
 };
 
 /// Reads and checks the whole file. `site` gets what the NBD section adds to it. Throws ConfigError:
 /// "FILE:LINE:COLUMN: FIELD: REASON".
-[[nodiscard]] OperatorConfig readOperator(const std::string& path, limedrum::Site& site,
-                                          const Limits& limits);
+[[nodiscard]] OperatorConfig readOperatorConfig(const std::string& path, limedrum::ProgramSettings& site,
+                                                const Limits& limits);
 
 }  // namespace martencove
--- a/src/core/backoff.h
+++ b/src/core/backoff.h
@@ -10,10 +10,10 @@
 
 /// Mean rests around calls for the list of nodes, in ms: at most before the first, after one failure, after
 /// several.
-struct CallRests {
-    double firstMs = 0;
-    double leastMs = 0;
-    double mostMs = 0;
+struct RetryDelays {
+    double initialMs = 0;
+    double minMs = 0;
+    double maxMs = 0;
 };
 
 /// `agentMs`: the mean rest where the list is pushed to an agent on the caller's own machine. That one has
@@ -21,17 +21,17 @@
 /// waiting. Where the list is one service for all hosts, `eachMs` for each of them, but the first call comes
 /// by half of the time in which it must be asked, and the longest rest (half as much again as its mean) ends
 /// within the four such times that a failed call gives.
-[[nodiscard]] inline CallRests callRests(bool onRequest, int hosts, double mustAskInMs, double agentMs,
-                                         double eachMs) {
+[[nodiscard]] inline RetryDelays makeRetryDelays(bool onRequest, int hosts, double mustAskInMs,
+                                                 double agentMs, double eachMs) {
     if (!onRequest) return {0, agentMs, 4 * agentMs};
-    CallRests rests;
-    rests.leastMs = std::max(agentMs, eachMs * hosts);
-    rests.mostMs = 4 * rests.leastMs;
-    rests.firstMs = rests.leastMs;
+    RetryDelays rests;
+    rests.minMs = std::max(agentMs, eachMs * hosts);
+    rests.maxMs = 4 * rests.minMs;
+    rests.initialMs = rests.minMs;
     if (mustAskInMs > 0) {
-        rests.firstMs = std::min(rests.firstMs, mustAskInMs / 2);
-        rests.mostMs = std::min(rests.mostMs, 2 * mustAskInMs);
-        rests.leastMs = std::min(rests.leastMs, rests.mostMs);
+        rests.initialMs = std::min(rests.initialMs, mustAskInMs / 2);
+        rests.maxMs = std::min(rests.maxMs, 2 * mustAskInMs);
+        rests.minMs = std::min(rests.minMs, rests.maxMs);
     }
     return rests;
 }
@@ -43,24 +43,24 @@
 public:
     /// `leastMs` and `mostMs`: the mean rest after the first failure, and at most.
     Backoff(double leastMs, double mostMs, std::uint64_t seed)
-        : leastMs_(leastMs), mostMs_(std::max(leastMs, mostMs)), meanMs_(leastMs), random_(seed) {}
+        : minMeanMs_(leastMs), maxMeanMs_(std::max(leastMs, mostMs)), meanMs_(leastMs), random_(seed) {}
 
     /// Before the first call of all, in ms: callers who start together are spread over `overMs`.
-    [[nodiscard]] double firstMs(double overMs) {
+    [[nodiscard]] double initialDelayMs(double overMs) {
         return overMs * std::uniform_real_distribution<double>()(random_);
     }
     /// The rest after one more failure, in ms.
-    [[nodiscard]] double nextMs() {
+    [[nodiscard]] double nextDelayMs() {
         const double restMs = meanMs_ * std::uniform_real_distribution<double>(0.5, 1.5)(random_);
-        meanMs_ = std::min(2 * meanMs_, mostMs_);
+        meanMs_ = std::min(2 * meanMs_, maxMeanMs_);
         return restMs;
     }
     /// A call went well: the next failure is a first one.
-    void reset() { meanMs_ = leastMs_; }
+    void reset() { meanMs_ = minMeanMs_; }
 
 private:
-    double leastMs_;
-    double mostMs_;
+    double minMeanMs_;
+    double maxMeanMs_;
     double meanMs_;
     std::mt19937_64 random_;
 };
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -14,7 +14,7 @@
         const auto at = counts_.find(name);
         at == counts_.end() ? void(counts_.emplace(name, more)) : void(at->second += more);
     }
-    [[nodiscard]] std::uint64_t of(std::string_view name) const {
+    [[nodiscard]] std::uint64_t value(std::string_view name) const {
         const auto at = counts_.find(name);
         return at == counts_.end() ? 0 : at->second;
     }
@@ -22,15 +22,15 @@
     std::size_t answerBytes = 0;
 
     /// All of them, in order of the names.
-    [[nodiscard]] std::map<std::string, std::uint64_t> all() const {
+    [[nodiscard]] std::map<std::string, std::uint64_t> snapshot() const {
         std::map<std::string, std::uint64_t> out(counts_.begin(), counts_.end());
         out["answer_bytes"] = answerBytes;
         return out;
     }
     /// One "name value" line each, in order of the names.
-    [[nodiscard]] std::string text() const {
+    [[nodiscard]] std::string toText() const {
         std::string lines;
-        for (const auto& [name, count] : all()) lines += name + ' ' + std::to_string(count) + '\n';
+        for (const auto& [name, count] : snapshot()) lines += name + ' ' + std::to_string(count) + '\n';
         return lines;
     }
 
--- a/src/core/facade.h
+++ b/src/core/facade.h
@@ -14,48 +14,48 @@
 
 namespace martencove {
 
-class Facade {
+class SchedulerFacade {
 public:
-    Facade(limedrum::Settings settings, std::uint64_t seed, double nowMs, const NodeList& known);
+    SchedulerFacade(limedrum::Settings settings, std::uint64_t seed, double nowMs, const NodeList& known);
 
     /// A request was taken. What is not answered or sent at once is held: it comes out of a later call.
-    [[nodiscard]] Todo pick(double nowMs, const Request& request);
+    [[nodiscard]] Actions addRequest(double nowMs, const Request& request);
     /// An attempt ended.
-    [[nodiscard]] Todo report(double nowMs, const Outcome& outcome);
+    [[nodiscard]] Actions handleEvent(double nowMs, const AttemptOutcome& outcome);
     /// The client of a request is gone: it gets no answer any more.
-    [[nodiscard]] Todo report(double nowMs, const RequestId& gone);
+    [[nodiscard]] Actions handleEvent(double nowMs, const RequestId& gone);
     /// Discovery told something.
-    [[nodiscard]] Todo report(double nowMs, const NodeList& list);
+    [[nodiscard]] Actions handleEvent(double nowMs, const NodeList& list);
     /// A peer said something.
-    [[nodiscard]] Todo report(double nowMs, const PeerMessage& message);
+    [[nodiscard]] Actions handleEvent(double nowMs, const PeerMessage& message);
     /// The program shuts down by these moments.
-    [[nodiscard]] Todo report(double nowMs, const ShutdownSchedule& moments);
+    [[nodiscard]] Actions handleEvent(double nowMs, const ShutdownSchedule& moments);
     /// The settings are others from now on; requests keep the classes and attempts that they were taken with.
     /// Throws std::invalid_argument, and nothing has changed.
-    void retune(limedrum::Settings settings) { scheduler_.retune(std::move(settings)); }
+    void updateSettings(limedrum::Settings settings) { scheduler_.updateSettings(std::move(settings)); }
     /// What was learned, for a process that follows this one; parts of limits are no longer here.
-    [[nodiscard]] std::string handOver(double nowMs) { return scheduler_.handOver(nowMs); }
+    [[nodiscard]] std::string exportState(double nowMs) { return scheduler_.exportState(nowMs); }
     /// Goes on with it. False: it cannot be read whole, or is too old, and nothing has changed.
-    [[nodiscard]] bool takeOver(double nowMs, const std::string& text) {
-        return scheduler_.takeOver(nowMs, text);
+    [[nodiscard]] bool importState(double nowMs, const std::string& text) {
+        return scheduler_.importState(nowMs, text);
     }
     /// Time has passed.
-    [[nodiscard]] Todo tick(double nowMs);
+    [[nodiscard]] Actions tick(double nowMs);
     /// When tick() is due next.
     [[nodiscard]] double nextTickMs() const;
 
     /// The nodes as the decisions see them; of each entry its id, shard and state are filled in.
-    [[nodiscard]] std::vector<NodeView> view() const;
+    [[nodiscard]] std::vector<NodeStatus> nodeStatuses() const;
 
-    [[nodiscard]] bool open(const RequestId& id) const { return open_.contains(id); }
-    [[nodiscard]] std::size_t openRequests() const { return open_.size(); }
+    [[nodiscard]] bool isOpen(const RequestId& id) const { return openRequests_.contains(id); }
+    [[nodiscard]] std::size_t openRequestCount() const { return openRequests_.size(); }
 
 private:
-    Todo run(double nowMs, limedrum::Event event);
-    Todo translate(double nowMs, const std::vector<limedrum::Action>& actions);
+    Actions runScheduler(double nowMs, limedrum::Event event);
+    Actions toActions(double nowMs, const std::vector<limedrum::Action>& actions);
 
     limedrum::Scheduler scheduler_;
-    std::unordered_map<RequestId, int> open_;  // taken and not answered, with the attempts so far
+    std::unordered_map<RequestId, int> openRequests_;  // taken and not answered, with the attempts so far
     std::set<std::pair<double, std::int64_t>> timers_;
 };
 
--- a/src/core/grace.h
+++ b/src/core/grace.h
@@ -16,34 +16,35 @@
 
 namespace martencove {
 
-struct Grace {
-    double wholeMs = 0;   ///< the settings' own figure
-    double holdMs = 0;    ///< the agent may hold a call that waits for news
-    double silentMs = 0;  ///< and answer later by so much: then the call is given up
-    double restMs = 0;    ///< at most, between a call that failed and the next
-    double turnMs = 0;    ///< the loop, from the answer to the last attempt taken back
+struct DrainGraceBudget {
+    double totalMs = 0;          ///< the settings' own figure
+    double longPollMs = 0;       ///< the agent may hold a call that waits for news
+    double answerTimeoutMs = 0;  ///< and answer later by so much: then the call is given up
+    double maxRetryDelayMs = 0;  ///< at most, between a call that failed and the next
+    double loopTurnMs = 0;       ///< the loop, from the answer to the last attempt taken back
 
     /// From the change to the end, where so many further calls fail after the silent one.
-    [[nodiscard]] double usedMs(int furtherFailed) const {
-        return holdMs + silentMs + (furtherFailed + 1) * (restMs + silentMs) + turnMs;
+    [[nodiscard]] double worstCaseMs(int furtherFailed) const {
+        return longPollMs + answerTimeoutMs + (furtherFailed + 1) * (maxRetryDelayMs + answerTimeoutMs) +
+               loopTurnMs;
     }
     /// How many further calls may fail within the grace; below 0: not even the next call fits.
-    [[nodiscard]] int mayFail() const {
+    [[nodiscard]] int toleratedFailures() const {
         int failed = -1;
-        while (failed < kMostFailed && usedMs(failed + 1) <= wholeMs) ++failed;
+        while (failed < kMaxToleratedFailures && worstCaseMs(failed + 1) <= totalMs) ++failed;
         return failed;
     }
-    static constexpr int kMostFailed = 100;
+    static constexpr int kMaxToleratedFailures = 100;
 };
 
 /// An answer of the agent is on its way for less than `leastSilentMs`, however short the grace.
-[[nodiscard]] inline Grace divideGrace(double graceMs, double leastSilentMs) {
-    Grace out;
-    out.wholeMs = graceMs;
-    out.holdMs = graceMs * 0.15;
-    out.silentMs = std::max(graceMs * 0.1, leastSilentMs);
-    out.restMs = graceMs * 0.05;
-    out.turnMs = graceMs * 0.1;
+[[nodiscard]] inline DrainGraceBudget divideDrainGrace(double graceMs, double leastSilentMs) {
+    DrainGraceBudget out;
+    out.totalMs = graceMs;
+    out.longPollMs = graceMs * 0.15;
+    out.answerTimeoutMs = std::max(graceMs * 0.1, leastSilentMs);
+    out.maxRetryDelayMs = graceMs * 0.05;
+    out.loopTurnMs = graceMs * 0.1;
     return out;
 }
 
@@ -59,21 +60,27 @@
 /// given up early and called again soon, the calls of thirty hosts kept the service full, and some heard
 /// nothing for 20 s. So a call may be late by as much as the protocol allows, and all rests but the one after
 /// a silence grow.
-struct AskedPath {
-    double wholeMs = 0;  ///< the time until a change counts as told, and the grace
-    double holdMs = 0;   ///< the service may hold a call that waits for news
-    double lateMs = 0;   ///< and answer later by so much: then the call is given up; also a connection's dial
-    double soonMs = 0;   ///< at most, before the call after a silent one
-    double restMs = 0;   ///< at most, before any other after a failed one
-    double turnMs = 0;   ///< the loop
+struct OnRequestListBudget {
+    double totalMs = 0;     ///< the time until a change counts as told, and the grace
+    double longPollMs = 0;  ///< the service may hold a call that waits for news
+    double answerTimeoutMs =
+        0;  ///< and answer later by so much: then the call is given up; also a connection's dial
+    double maxDelayAfterTimeoutMs = 0;  ///< at most, before the call after a silent one
+    double maxRetryDelayMs = 0;         ///< at most, before any other after a failed one
+    double loopTurnMs = 0;              ///< the loop
 
     /// What is left for the answer of the call that follows a silent one.
-    [[nodiscard]] double answerMs() const { return wholeMs - holdMs - lateMs - soonMs - turnMs; }
+    [[nodiscard]] double remainingAnswerMs() const {
+        return totalMs - longPollMs - answerTimeoutMs - maxDelayAfterTimeoutMs - loopTurnMs;
+    }
     /// From the service's return to the end: a rest that began just before, and a call that is late.
-    [[nodiscard]] double returnMs() const { return restMs + lateMs + turnMs; }
+    [[nodiscard]] double worstCaseAfterReturnMs() const {
+        return maxRetryDelayMs + answerTimeoutMs + loopTurnMs;
+    }
 };
 
-[[nodiscard]] inline AskedPath divideAsked(double toldAfterMs, double graceMs, double lateMs) {
+[[nodiscard]] inline OnRequestListBudget divideOnRequestListTime(double toldAfterMs, double graceMs,
+                                                                 double lateMs) {
     const double whole = toldAfterMs + graceMs;
     return {whole, whole * 0.42, lateMs, whole * 0.07, whole * 0.6, whole * 0.05};
 }
--- a/src/core/values.h
+++ b/src/core/values.h
@@ -21,15 +21,15 @@
     std::string volume;
     double expiresMs = 0;
     double units = 1;
-    int shard = -1;  ///< -1: a new object, any node may take it
-    int hosts = 1;   ///< schedulers through which the volume's requests come
+    int shard = -1;         ///< -1: a new object, any node may take it
+    int hostsOfVolume = 1;  ///< schedulers through which the volume's requests come
 };
 
 /// What an attempt's time allows, in ms from when it is decided.
-struct AttemptTimes {
+struct AttemptTimeouts {
     double timeoutMs = 0;  ///< for its answer
     /// For its last byte to leave: one that has not by then may not run any more, and never ran.
-    double startWithinMs = std::numeric_limits<double>::infinity();
+    double lastByteWithinMs = std::numeric_limits<double>::infinity();
 };
 
 /// One try of a request at a storage node; a request's attempts are numbered from 0.
@@ -37,32 +37,42 @@
     RequestId id;
     int number = 0;
     NodeId node = 0;
-    AttemptTimes times;
+    AttemptTimeouts timeouts;
 };
-struct AttemptName {
+struct AttemptId {
     RequestId id;
     int number = 0;
 };
 
 /// `spoilt`: what came back was no answer to it; like an error, it shows a node that runs.
-enum class Ending { served, error, turnedAway, timedOut, notConnected, broken, cancelled, notSent, spoilt };
-inline constexpr int kEndings = 9;
+enum class AttemptStatus {
+    served,
+    error,
+    rejected,
+    timedOut,
+    notConnected,
+    connectionLost,
+    cancelled,
+    notSent,
+    invalidReply
+};
+inline constexpr int kAttemptStatusCount = 9;
 
 /// How an attempt ended.
-struct Outcome {
+struct AttemptOutcome {
     RequestId id;
     int attempt = 0;
     NodeId node = 0;
-    Ending ending = Ending::served;
-    double tookMs = 0;
+    AttemptStatus status = AttemptStatus::served;
+    double durationMs = 0;
 };
 
-enum class Verdict { served, refused, failed };
+enum class AnswerStatus { served, refused, failed };
 
 /// The one final answer to a request.
 struct Answer {
     RequestId id;
-    Verdict verdict = Verdict::failed;
+    AnswerStatus status = AnswerStatus::failed;
     double retryAfterMs = 0;  ///< of a refusal: when to come back; 0: no advice
 };
 
@@ -76,35 +86,35 @@
 struct NodeEntry {
     NodeId id = 0;
     std::string name;
-    std::string dial;
+    std::string address;
     int zone = 0;
     int shard = 0;
     NodeState state = NodeState::ready;
-    double bornMs = 0;  ///< Unix time of its last start; 0: long ago
-    double weight = 0;  ///< its part of the shard's work against other holders; 0: not told
+    double bootTimeMs = 0;  ///< Unix time of its last start; 0: long ago
+    double weight = 0;      ///< its part of the shard's work against other holders; 0: not told
 };
 /// What discovery told: a whole list or the entries that changed.
 struct NodeList {
     std::int64_t version = 0;
-    bool whole = false;
+    bool isSnapshot = false;
     std::vector<NodeEntry> nodes;
 };
 
 /// How the decisions see a node now.
-struct NodeView {
+struct NodeStatus {
     NodeEntry node;
-    bool chosen = false;  ///< new work of its shard goes to it
-    bool silent = false;  ///< it takes work and answers nothing
-    double rate = 0;      ///< units a second that it can do; 0: not learned
+    bool receivesNewWork = false;  ///< new work of its shard goes to it
+    bool unresponsive = false;     ///< it takes work and answers nothing
+    double unitsPerSecond = 0;     ///< units a second that it can do; 0: not learned
 };
 
 /// What is to be done now, at the time of the call that returned it.
-struct Todo {
+struct Actions {
     std::vector<Answer> answers;
-    std::vector<AttemptName> cancels;
+    std::vector<AttemptId> cancellations;
     std::vector<Attempt> attempts;
-    std::vector<PeerMessage> messages;
-    std::vector<std::string> notes;  ///< for the log
+    std::vector<PeerMessage> peerMessages;
+    std::vector<std::string> logMessages;  ///< for the log
 };
 
 }  // namespace martencove
--- a/src/etcd/messages.cpp
+++ b/src/etcd/messages.cpp
@@ -22,34 +22,34 @@
 
 // 64-bit numbers come as strings, as protobuf's JSON has them.
 std::int64_t wide(const Json& value, const char* name) {
-    if (!value.is_string()) return whole(value, name);
+    if (!value.is_string()) return getInt64(value, name);
     const auto text = value.get<std::string>();
     char* end = nullptr;
     const long long number = std::strtoll(text.c_str(), &end, 10);
-    if (text.empty() || *end != '\0') complain(name, "not a whole number");
+    if (text.empty() || *end != '\0') throwFieldError(name, "not a whole number");
     return number;
 }
 std::string bytes(const Json& object, const char* name) {
-    const auto decoded = fromBase64(text(object, name, ""));
-    if (!decoded) complain(name, "not base64");
+    const auto decoded = fromBase64(getString(object, name, ""));
+    if (!decoded) throwFieldError(name, "not base64");
     return *decoded;
 }
 Json parse(const std::string& text) {
     Json json = Json::parse(text, nullptr, false);
-    if (!json.is_object()) complain("answer", "not a JSON object");
+    if (!json.is_object()) throwFieldError("answer", "not a JSON object");
     return json;
 }
 std::int64_t revisionOf(const Json& json) {
-    const Json& header = need(json, "header");
-    return wide(need(header, "revision"), "revision");
+    const Json& header = requireField(json, "header");
+    return wide(requireField(header, "revision"), "revision");
 }
 
 }  // namespace
 
-std::string rangeRequest(const std::string& prefix) {
+std::string makeRangeRequest(const std::string& prefix) {
     return Json{{"key", toBase64(prefix)}, {"range_end", toBase64(endOf(prefix))}}.dump();
 }
-std::string watchRequest(const std::string& prefix, std::int64_t startRevision) {
+std::string makeWatchRequest(const std::string& prefix, std::int64_t startRevision) {
     return Json{{"create_request",
                  {{"key", toBase64(prefix)},
                   {"range_end", toBase64(endOf(prefix))},
@@ -61,8 +61,8 @@
     const Json json = parse(text);
     Update out;
     out.revision = revisionOf(json);
-    if (const Json* pairs = find(json, "kvs")) {
-        for (const Json& pair : list(*pairs, "kvs"))
+    if (const Json* pairs = findField(json, "kvs")) {
+        for (const Json& pair : getArray(*pairs, "kvs"))
             out.pairs.push_back({bytes(pair, "key"), bytes(pair, "value")});
     }
     return out;
@@ -70,14 +70,14 @@
 
 Update decodeWatch(const std::string& text) {
     const Json json = parse(text);
-    const Json& result = need(json, "result");
+    const Json& result = requireField(json, "result");
     Update out;
     out.revision = revisionOf(result);
-    out.canceled = truth(result, "canceled", false);
-    if (const Json* events = find(result, "events")) {
-        for (const Json& event : list(*events, "events")) {
-            const Json& pair = need(event, "kv");
-            const bool deleted = limedrum::fields::text(event, "type", "PUT") == "DELETE";
+    out.canceled = getBool(result, "canceled", false);
+    if (const Json* events = findField(result, "events")) {
+        for (const Json& event : getArray(*events, "events")) {
+            const Json& pair = requireField(event, "kv");
+            const bool deleted = limedrum::fields::getString(event, "type", "PUT") == "DELETE";
             out.pairs.push_back({bytes(pair, "key"), deleted ? "" : bytes(pair, "value"), deleted});
         }
     }
--- a/src/etcd/messages.h
+++ b/src/etcd/messages.h
@@ -9,8 +9,8 @@
 namespace martencove::etcd {
 
 /// All keys that begin with a prefix.
-[[nodiscard]] std::string rangeRequest(const std::string& prefix);
-[[nodiscard]] std::string watchRequest(const std::string& prefix, std::int64_t startRevision);
+[[nodiscard]] std::string makeRangeRequest(const std::string& prefix);
+[[nodiscard]] std::string makeWatchRequest(const std::string& prefix, std::int64_t startRevision);
 
 struct KeyValue {
     std::string key;
--- a/src/etcd/source.h
+++ b/src/etcd/source.h
@@ -16,38 +16,38 @@
 
 namespace martencove::etcd {
 
-class Source {
+class NodeSource {
 public:
-    Source(event_base* base, EtcdConfig config, std::uint64_t seed, const Limits& limits, Counters& counters,
-           Log& log, std::function<void(const NodeList&)> told);
-    Source(const Source&) = delete;
-    Source& operator=(const Source&) = delete;
+    NodeSource(event_base* base, EtcdConfig config, std::uint64_t seed, const Limits& limits,
+               Counters& counters, Log& log, std::function<void(const NodeList&)> told);
+    NodeSource(const NodeSource&) = delete;
+    NodeSource& operator=(const NodeSource&) = delete;
 
 private:
-    static void piece(evhttp_request* request, void* self);
-    static void over(evhttp_request* request, void* self);
-    void call();
-    void takeRange();
-    void takeWatched();
+    static void onChunk(evhttp_request* request, void* self);
+    static void onRequestDone(evhttp_request* request, void* self);
+    void sendRequest();
+    void handleRangeResponse();
+    void handleWatchMessages();
     /// Tells a change; `whole`: all there is, and what is not among it is gone.
-    void tell(const struct Update& update, bool whole);
-    void ignore(const std::string& why);
-    void again(double afterMs);
+    void applyUpdate(const struct Update& update, bool whole);
+    void rejectResponse(const std::string& why);
+    void scheduleRequest(double afterMs);
 
     event_base* base_;
     EtcdConfig config_;
     const Limits& limits_;
     Counters& counters_;
     Log& log_;
-    std::function<void(const NodeList&)> told_;
-    Owned<evhttp_connection> connection_;
-    std::map<std::string, NodeEntry> nodes_;  // by key
-    std::int64_t revision_ = 0;               // of the last change told; 0: the whole list is needed
-    bool watching_ = false;                   // the present call is a watch
-    std::string pending_;                     // of the present call's answer
-    Backoff rest_;                            // between failed calls
-    Timer next_;
-    Timer quiet_;
+    std::function<void(const NodeList&)> onNodesChanged_;
+    LibeventPtr<evhttp_connection> connection_;
+    std::map<std::string, NodeEntry> nodesByKey_;  // by key
+    std::int64_t revision_ = 0;                    // of the last change told; 0: the whole list is needed
+    bool isWatchRequest_ = false;                  // the present call is a watch
+    std::string responseBuffer_;                   // of the present call's answer
+    Backoff backoff_;                              // between failed calls
+    Timer requestTimer_;
+    Timer responseTimer_;
 };
 
 }  // namespace martencove::etcd
--- a/src/files/node_file.cpp
+++ b/src/files/node_file.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 namespace pb = google::protobuf;
-using membership::Draft;
+using membership::ParsedNodeFile;
 using membership::Severity;
 
 std::string sha256(std::string_view bytes) {
@@ -32,14 +32,14 @@
     return out;
 }
 
-membership::Problem problemOf(const TextError& error, const std::string& file, Severity severity) {
+membership::Problem problemOf(const TextParseError& error, const std::string& file, Severity severity) {
     return {{file, error.line, error.column}, error.reason, severity};
 }
 
 membership::Member memberOf(const Node& node) {
     membership::Member out;
     out.name = node.name();
-    out.dial = node.dial();
+    out.address = node.dial();
     // Not told, or past what a shard's number can be: the check of shards refuses both.
     out.shard =
         node.has_shard() && node.shard() <= static_cast<std::uint32_t>(std::numeric_limits<int>::max())
@@ -47,19 +47,19 @@
             : -1;
     out.weight = node.has_weight() ? node.weight() : 1;
     out.rack = node.rack();
-    out.state = node.state() == DRAINING ? membership::State::draining : membership::State::ready;
-    out.bornMs = static_cast<double>(node.born_ms());
+    out.state = node.state() == DRAINING ? membership::MemberState::draining : membership::MemberState::ready;
+    out.bootTimeMs = static_cast<double>(node.born_ms());
     return out;
 }
 
-void fill(const NodeFile& in, const pb::TextFormat::ParseInfoTree& tree, Draft& out) {
+void fill(const NodeFile& in, const pb::TextFormat::ParseInfoTree& tree, ParsedNodeFile& out) {
     out.version = in.version();
-    out.endVersion = in.end().version();
-    out.count = in.count();
-    out.part = in.part();
-    out.parts = {in.parts().begin(), in.parts().end()};
+    out.trailerVersion = in.end().version();
+    out.declaredCount = in.count();
+    out.partName = in.part();
+    out.partNames = {in.parts().begin(), in.parts().end()};
     for (const Permit& permit : in.permit()) {
-        membership::Permit p{
+        membership::RemovalPermit p{
             permit.from_version(), {permit.rack().begin(), permit.rack().end()}, {}, permit.fleet_part()};
         for (const std::uint32_t shard : permit.shard()) p.shards.push_back(static_cast<int>(shard));
         out.permits.push_back(std::move(p));
@@ -81,8 +81,8 @@
 
 }  // namespace
 
-Seal sealOf(std::string_view bytes) {
-    Seal out;
+FileTrailer parseTrailer(std::string_view bytes) {
+    FileTrailer out;
     // The last line that begins so. A seal further up, of an older and longer version, does not count.
     constexpr std::string_view kEnd = "\nend {";
     const std::size_t at = bytes.rfind(kEnd);
@@ -94,66 +94,68 @@
     const std::size_t close = line.find('}');
     if (close == line.npos || line.find_first_not_of(" \t\r\n", close + 1) != line.npos) return out;
     const std::size_t hash = line.find("sha256: \"" + out.digest + '"');
-    out.good = hash != line.npos && hash < close;
+    out.isValid = hash != line.npos && hash < close;
     return out;
 }
 
-Draft decodeNodeFile(const std::string& file, std::string_view bytes, bool wholeOnly) {
-    Draft out;
+ParsedNodeFile decodeNodeFile(const std::string& file, std::string_view bytes, bool wholeOnly) {
+    ParsedNodeFile out;
     out.file = file;
-    const Seal seal = sealOf(bytes);
+    const FileTrailer seal = parseTrailer(bytes);
     out.digest = seal.digest;
     const std::string broken =
         !seal.found ? "no line that begins with \"end {\": half written, or not sealed"
                     : "the sha256 in its last line is not that of what stands before it: half written, or "
                       "edited without sealing it again";
-    if (!seal.good && wholeOnly) {
-        out.problems.emplace_back(membership::Place{file, 0, 0}, broken, Severity::incomplete);
+    if (!seal.isValid && wholeOnly) {
+        out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, broken, Severity::incomplete);
         return out;
     }
     if (bytes.size() > std::numeric_limits<int>::max() / 2) {
-        out.problems.emplace_back(membership::Place{file, 0, 0}, "too long");
+        out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, "too long");
         return out;
     }
     NodeFile message;
     pb::TextFormat::ParseInfoTree tree;
     // What is sealed is as its writer meant it: an error in it does not heal by waiting.
-    const Severity severity = seal.good ? Severity::refused : Severity::incomplete;
-    if (const auto error = parseText(bytes, message, &tree))
+    const Severity severity = seal.isValid ? Severity::refused : Severity::incomplete;
+    if (const auto error = parseTextFormat(bytes, message, &tree))
         out.problems.push_back(problemOf(*error, file, severity));
     else
         fill(message, tree, out);
-    if (!seal.good) out.problems.emplace_back(membership::Place{file, 0, 0}, broken, Severity::incomplete);
+    if (!seal.isValid)
+        out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, broken, Severity::incomplete);
     return out;
 }
 
-std::vector<Draft> readNodeFiles(const std::vector<std::string>& files, std::size_t most, bool wholeOnly) {
-    std::vector<Draft> out;
+std::vector<ParsedNodeFile> readNodeFiles(const std::vector<std::string>& files, std::size_t most,
+                                          bool wholeOnly) {
+    std::vector<ParsedNodeFile> out;
     for (const std::string& file : files) {
-        const Content content = readWhole(file, most);
+        const FileContent content = readRegularFile(file, most);
         most -= std::min(content.bytes.size(), most);
         if (content.error.empty()) {
             out.push_back(decodeNodeFile(file, content.bytes, wholeOnly));
             continue;
         }
-        Draft unread;
+        ParsedNodeFile unread;
         unread.file = file;
-        unread.problems.emplace_back(membership::Place{file, 0, 0}, content.error,
+        unread.problems.emplace_back(membership::SourceLocation{file, 0, 0}, content.error,
                                      content.missing ? Severity::incomplete : Severity::refused);
         out.push_back(std::move(unread));
     }
     return out;
 }
 
-std::string sealed(const std::string& body, std::uint64_t version) {
+std::string withTrailer(const std::string& body, std::uint64_t version) {
     const std::string whole = body.empty() || body.back() == '\n' ? body : body + '\n';
     return whole + "end { version: " + std::to_string(version) + " sha256: \"" + sha256(whole) + "\" }\n";
 }
 
-std::string sealAgain(const std::string& file, const std::string& bytes) {
+std::string updateCountAndTrailer(const std::string& file, const std::string& bytes) {
     NodeFile message;
-    const std::string old = bytes.substr(0, sealOf(bytes).bodyBytes);
-    if (const auto error = parseText(old, message))
+    const std::string old = bytes.substr(0, parseTrailer(bytes).bodyBytes);
+    if (const auto error = parseTextFormat(old, message))
         throw std::invalid_argument(problemOf(*error, file, Severity::refused).text());
     if (message.version() == 0)
         throw std::invalid_argument(file + ": version: missing or 0, they count from 1");
@@ -169,10 +171,10 @@
             body.replace(from, body.find_first_of("\n#", from) - from, count);
         }
     }
-    return sealed(body, message.version());
+    return withTrailer(body, message.version());
 }
 
-std::string encodeKept(const membership::Membership& membership) {
+std::string encodeKeptVersion(const membership::Membership& membership) {
     KeptVersion out;
     out.set_version(membership.version);
     out.set_digest(membership.digest);
@@ -180,22 +182,22 @@
         if (m.leaving) continue;
         Node& node = *out.add_node();
         node.set_name(m.name);
-        node.set_dial(m.dial);
+        node.set_dial(m.address);
         node.set_shard(static_cast<std::uint32_t>(m.shard));
         node.set_weight(m.weight);
         if (!m.rack.empty()) node.set_rack(m.rack);
-        if (m.state == membership::State::draining) node.set_state(DRAINING);
-        node.set_born_ms(std::llround(m.bornMs));
+        if (m.state == membership::MemberState::draining) node.set_state(DRAINING);
+        node.set_born_ms(std::llround(m.bootTimeMs));
     }
-    return sealed(printed(out), membership.version);
+    return withTrailer(printed(out), membership.version);
 }
 
-membership::Membership decodeKept(std::string_view bytes, std::string& problem) {
+membership::Membership decodeKeptVersion(std::string_view bytes, std::string& problem) {
     membership::Membership out;
     KeptVersion message;
-    if (!sealOf(bytes).good) {
+    if (!parseTrailer(bytes).isValid) {
         problem = "not whole";
-    } else if (const auto error = parseText(bytes, message)) {
+    } else if (const auto error = parseTextFormat(bytes, message)) {
         problem = problemOf(*error, "", Severity::refused).text();
     } else if (message.version() == 0 || message.version() != message.end().version()) {
         problem = "version: missing, or not the same at both ends";
--- a/src/files/read.cpp
+++ b/src/files/read.cpp
@@ -41,8 +41,8 @@
 
 }  // namespace
 
-Content readWhole(const std::string& path, std::size_t most) {
-    Content out;
+FileContent readRegularFile(const std::string& path, std::size_t most) {
+    FileContent out;
     const Descriptor file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK | O_NOCTTY));
     if (file.get() < 0) {
         out.missing = errno == ENOENT || errno == ENOTDIR;
@@ -77,7 +77,7 @@
     return out;
 }
 
-std::string replaceDurably(const std::string& path, const std::string& bytes) {
+std::string writeFileAtomically(const std::string& path, const std::string& bytes) {
     const std::string beside = path + ".new";
     Descriptor file(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
     if (file.get() < 0) return why(("cannot create " + beside).c_str());
--- a/src/files/read.h
+++ b/src/files/read.h
@@ -6,7 +6,7 @@
 
 namespace martencove::files {
 
-struct Content {
+struct FileContent {
     std::string bytes;
     std::string error;     ///< empty: it was read
     bool missing = false;  ///< there is no such file
@@ -14,10 +14,10 @@
 
 /// `most` in bytes: a longer file is not read. Never throws on what the file is. What is read while a writer
 /// is at work may be any mixture: the file's seal shows it.
-[[nodiscard]] Content readWhole(const std::string& path, std::size_t most);
+[[nodiscard]] FileContent readRegularFile(const std::string& path, std::size_t most);
 
 /// Writes `bytes` beside `path`, makes them durable and puts them in its place: a reader, and a start after a
 /// crash, find the old content or the new. Returns why not; empty: done. On a failure the old content stands.
-[[nodiscard]] std::string replaceDurably(const std::string& path, const std::string& bytes);
+[[nodiscard]] std::string writeFileAtomically(const std::string& path, const std::string& bytes);
 
 }  // namespace martencove::files
--- a/src/files/reader.cpp
+++ b/src/files/reader.cpp
@@ -15,7 +15,7 @@
 namespace martencove::files {
 namespace {
 
-using membership::Ruling;
+using membership::OfferOutcome;
 
 std::string age(double ms) {
     char text[32];
@@ -25,211 +25,222 @@
 
 }  // namespace
 
-std::string Status::text(double nowMs) const {
+std::string NodeFileStatus::toText(double nowMs) const {
     std::string out;
     if (version == 0)
         out = "no version in force\n";
     else
-        out = "version " + std::to_string(version) + " in force for " + age(nowMs - sinceMs) +
-              (kept ? ", from the kept copy" : "") + ": " + std::to_string(nodes) + " nodes, " +
-              std::to_string(leaving) + " leaving\n";
-    if (!refusal.empty()) {
-        out += "newest content not taken for " + age(nowMs - refusedMs) + ":\n";
-        for (const std::string& line : refusal) out += "  " + line + '\n';
+        out = "version " + std::to_string(version) + " in force for " + age(nowMs - activatedAtMs) +
+              (fromKeptCopy ? ", from the kept copy" : "") + ": " + std::to_string(nodeCount) + " nodes, " +
+              std::to_string(leavingCount) + " leaving\n";
+    if (!refusalLines.empty()) {
+        out += "newest content not taken for " + age(nowMs - refusedSinceMs) + ":\n";
+        for (const std::string& line : refusalLines) out += "  " + line + '\n';
     }
     return out;
 }
 
-LogFields Status::fields(double nowMs) const {
+LogFields NodeFileStatus::logFields(double nowMs) const {
     LogFields out{{"version", version},
-                  {"age_s", std::llround((nowMs - sinceMs) / 1000)},
-                  {"nodes", nodes},
-                  {"leaving", leaving},
-                  {"kept_copy", kept ? 1 : 0}};
-    if (refusal.empty()) return out;
-    out.emplace_back("refused_for_s", std::llround((nowMs - refusedMs) / 1000));
-    out.emplace_back("refusal", refusal.front());
+                  {"age_s", std::llround((nowMs - activatedAtMs) / 1000)},
+                  {"nodes", nodeCount},
+                  {"leaving", leavingCount},
+                  {"kept_copy", fromKeptCopy ? 1 : 0}};
+    if (refusalLines.empty()) return out;
+    out.emplace_back("refused_for_s", std::llround((nowMs - refusedSinceMs) / 1000));
+    out.emplace_back("refusal", refusalLines.front());
     return out;
 }
 
-Reader::Reader(Config config, const Clock& clock, const Limits& limits, std::function<void()> wake)
+NodeFileMonitor::NodeFileMonitor(NodeFileConfig config, const Clock& clock, const Limits& limits,
+                                 std::function<void()> wake)
     : config_(std::move(config)),
       clock_(clock),
       limits_(limits),
-      wake_(std::move(wake)),
-      gate_(config_.rules),
-      watch_(config_.paths) {
-    if (pipe2(stop_, O_CLOEXEC | O_NONBLOCK) != 0)
+      wakeLoop_(std::move(wake)),
+      membershipManager_(config_.rules),
+      watcher_(config_.paths) {
+    if (pipe2(stopPipe_, O_CLOEXEC | O_NONBLOCK) != 0)
         throw std::runtime_error("no pipe for the reader of files");
-    restoreKept();
-    readAll(true);
+    restoreKeptVersion();
+    readAndOffer(true);
 }
 
-Reader::~Reader() {
-    close(stop_[1]);  // which the thread sees
+NodeFileMonitor::~NodeFileMonitor() {
+    close(stopPipe_[1]);  // which the thread sees
     if (thread_.joinable()) thread_.join();
-    close(stop_[0]);
+    close(stopPipe_[0]);
 }
 
-void Reader::start() {
+void NodeFileMonitor::start() {
     thread_ = std::thread([this] { run(); });
 }
 
-void Reader::restoreKept() {
-    if (config_.keep.empty()) return;
-    const Content content = readWhole(config_.keep, limits_.nodeFileBytes);
+void NodeFileMonitor::restoreKeptVersion() {
+    if (config_.keptVersionPath.empty()) return;
+    const FileContent content = readRegularFile(config_.keptVersionPath, limits_.maxNodeFileBytes);
     if (content.missing) return;
     std::string problem = content.error;
     membership::Membership kept;
-    if (problem.empty()) kept = decodeKept(content.bytes, problem);
+    if (problem.empty()) kept = decodeKeptVersion(content.bytes, problem);
     if (!problem.empty())
-        return note(true, "kept version not used", {{"file", config_.keep}, {"reason", problem}});
-    gate_.restore(std::move(kept), clock_.nowMs());
-    status_.kept = true;
-    note(false, "taken from the kept copy", {{"version", gate_.inForce()->version}, {"file", config_.keep}});
-    handOver();
+        return addLogMessage(true, "kept version not used",
+                             {{"file", config_.keptVersionPath}, {"reason", problem}});
+    membershipManager_.restore(std::move(kept), clock_.nowMs());
+    status_.fromKeptCopy = true;
+    addLogMessage(false, "taken from the kept copy",
+                  {{"version", membershipManager_.current()->version}, {"file", config_.keptVersionPath}});
+    publishUpdate();
 }
 
 // Events lead to a read at once where a writer closed or renamed, else when it rests for a moment. The slow
 // look finds what no event told. Content that is not whole is looked at again, and told of once it has stayed
 // so.
-void Reader::run() {
+void NodeFileMonitor::run() {
     double readAtMs = INFINITY;
     double firstMs = INFINITY;  // of the events that wait for a rest
-    double lookAtMs = clock_.nowMs() + config_.lookMs;
+    double lookAtMs = clock_.nowMs() + config_.pollIntervalMs;
     for (;;) {
         const double now = clock_.nowMs();
-        const double settleAtMs = unsettledMs_ > 0 ? unsettledMs_ + limits_.fileSettleMs : INFINITY;
-        const double next = std::min({readAtMs, lookAtMs, gate_.nextMs(), settleAtMs});
-        pollfd fds[2] = {{stop_[0], POLLIN, 0}, {watch_.fd(), POLLIN, 0}};
+        const double settleAtMs =
+            incompleteSinceMs_ > 0 ? incompleteSinceMs_ + limits_.incompleteFileTimeoutMs : INFINITY;
+        const double next = std::min({readAtMs, lookAtMs, membershipManager_.nextRemovalMs(), settleAtMs});
+        pollfd fds[2] = {{stopPipe_[0], POLLIN, 0}, {watcher_.fd(), POLLIN, 0}};
         const int wait = static_cast<int>(std::clamp(std::ceil(next - now), 0.0, 60'000.0));
-        (void)poll(fds, watch_.fd() >= 0 ? 2 : 1, wait);
+        (void)poll(fds, watcher_.fd() >= 0 ? 2 : 1, wait);
         if (fds[0].revents != 0) return;
         const double after = clock_.nowMs();
-        if (watch_.fd() >= 0 && fds[1].revents != 0) {
-            const Watch::Seen seen = watch_.take();
-            if (seen.lost) {
+        if (watcher_.fd() >= 0 && fds[1].revents != 0) {
+            const FileWatcher::EventSummary seen = watcher_.readEvents();
+            if (seen.queueOverflowed) {
                 const std::lock_guard lock(mutex_);
-                ++status_.overflows;
+                ++status_.overflowCount;
             }
             firstMs = std::min(firstMs, after);
-            const bool now = seen.closed || seen.lost || after - firstMs >= limits_.fileRestMostMs;
-            if (seen.any) readAtMs = now ? after : after + limits_.fileRestMs;
+            const bool now =
+                seen.writeFinished || seen.queueOverflowed || after - firstMs >= limits_.maxFileReadDelayMs;
+            if (seen.anyEvent) readAtMs = now ? after : after + limits_.fileQuietMs;
         }
         if (after >= lookAtMs) {
-            lookAtMs = after + config_.lookMs;
-            if (fingerprint(filesOf(config_.paths)) != seen_) readAtMs = after;
+            lookAtMs = after + config_.pollIntervalMs;
+            if (computeFingerprint(expandPaths(config_.paths)) != lastFingerprint_) readAtMs = after;
         }
-        const bool settled = unsettledMs_ > 0 && after >= unsettledMs_ + limits_.fileSettleMs;
+        const bool settled =
+            incompleteSinceMs_ > 0 && after >= incompleteSinceMs_ + limits_.incompleteFileTimeoutMs;
         if (after >= readAtMs || settled) {
             readAtMs = firstMs = INFINITY;
-            readAll(settled);
+            readAndOffer(settled);
         }
-        if (gate_.depart(after)) handOver();
-        std::vector<Handed> spent;  // freed here, without the lock
+        if (membershipManager_.removeDeparted(after)) publishUpdate();
+        std::vector<MembershipUpdate> spent;  // freed here, without the lock
         const std::lock_guard lock(mutex_);
-        spent.swap(spent_);
+        spent.swap(retiredUpdates_);
     }
 }
 
 // `settled`: content that is not whole is told of, with the place where the parser stopped.
-void Reader::readAll(bool settled) {
-    const std::vector<std::string> files = filesOf(config_.paths);
-    seen_ = fingerprint(files);
-    const std::vector<membership::Draft> drafts = readNodeFiles(files, limits_.nodeFileBytes, !settled);
+void NodeFileMonitor::readAndOffer(bool settled) {
+    const std::vector<std::string> files = expandPaths(config_.paths);
+    lastFingerprint_ = computeFingerprint(files);
+    const std::vector<membership::ParsedNodeFile> drafts =
+        readNodeFiles(files, limits_.maxNodeFileBytes, !settled);
     const double now = clock_.nowMs();
-    const membership::Verdict verdict = gate_.offer(drafts, now);
-    const bool waiting = verdict.ruling == Ruling::incomplete && !settled;
-    unsettledMs_ = !waiting ? 0 : unsettledMs_ > 0 ? unsettledMs_ : now;
+    const membership::OfferResult verdict = membershipManager_.offerVersion(drafts, now);
+    const bool waiting = verdict.outcome == OfferOutcome::incomplete && !settled;
+    incompleteSinceMs_ = !waiting ? 0 : incompleteSinceMs_ > 0 ? incompleteSinceMs_ : now;
 
     std::vector<std::string> lines;
     for (const membership::Problem& problem : verdict.problems) lines.push_back(problem.text());
     {
         const std::lock_guard lock(mutex_);
-        ++status_.reads;
-        status_.accepted += verdict.ruling == Ruling::accepted;
-        status_.refused += verdict.ruling == Ruling::refused;
-        status_.incomplete += verdict.ruling == Ruling::incomplete;
-        if (verdict.ruling == Ruling::accepted || verdict.ruling == Ruling::unchanged) status_.kept = false;
+        ++status_.readCount;
+        status_.acceptedCount += verdict.outcome == OfferOutcome::accepted;
+        status_.refusedCount += verdict.outcome == OfferOutcome::refused;
+        status_.incompleteCount += verdict.outcome == OfferOutcome::incomplete;
+        if (verdict.outcome == OfferOutcome::accepted || verdict.outcome == OfferOutcome::unchanged)
+            status_.fromKeptCopy = false;
         if (!waiting) {
-            if (status_.refusal.empty() || lines != status_.refusal) status_.refusedMs = now;
-            status_.refusal = lines;
+            if (status_.refusalLines.empty() || lines != status_.refusalLines) status_.refusedSinceMs = now;
+            status_.refusalLines = lines;
         }
     }
-    if (verdict.ruling == Ruling::accepted) {
-        for (const std::string& text : verdict.notes) note(false, "left over", {{"reason", text}});
-        handOver();
-        keep();
+    if (verdict.outcome == OfferOutcome::accepted) {
+        for (const std::string& text : verdict.notes) addLogMessage(false, "left over", {{"reason", text}});
+        publishUpdate();
+        saveKeptVersion();
     }
     if (waiting) return;
     std::string complaint;
     for (const std::string& line : lines) complaint += line + '\n';
-    if (complaint != complaint_) {
-        const std::uint64_t stays = gate_.inForce() ? gate_.inForce()->version : 0;
+    if (complaint != lastLoggedRefusal_) {
+        const std::uint64_t stays = membershipManager_.current() ? membershipManager_.current()->version : 0;
         for (const std::string& line : lines)
-            note(true, "not taken", {{"version", verdict.version}, {"in_force", stays}, {"reason", line}});
+            addLogMessage(true, "not taken",
+                          {{"version", verdict.version}, {"in_force", stays}, {"reason", line}});
     }
-    complaint_ = std::move(complaint);
+    lastLoggedRefusal_ = std::move(complaint);
 }
 
 // The changes are worked out here, against what the loop took last; should it take one meanwhile, once more.
-void Reader::handOver() {
-    const membership::MembershipPtr next = gate_.inForce();
+void NodeFileMonitor::publishUpdate() {
+    const membership::MembershipPtr next = membershipManager_.current();
     for (;;) {
         membership::MembershipPtr base;
         {
             const std::lock_guard lock(mutex_);
-            base = taken_;
+            base = loopMembership_;
         }
-        Handed handed{next, membership::changes(base.get(), *next)};
+        MembershipUpdate handed{next, membership::diffMemberships(base.get(), *next)};
         const std::lock_guard lock(mutex_);
-        if (taken_ != base) continue;
-        handed_ = std::move(handed);
+        if (loopMembership_ != base) continue;
+        pendingUpdate_ = std::move(handed);
         status_.version = next->version;
-        status_.sinceMs = next->sinceMs;
-        status_.nodes = next->members.size();
-        status_.leaving = static_cast<std::size_t>(std::count_if(next->members.begin(), next->members.end(),
-                                                                 [](const auto& m) { return m.leaving; }));
+        status_.activatedAtMs = next->activatedAtMs;
+        status_.nodeCount = next->members.size();
+        status_.leavingCount = static_cast<std::size_t>(std::count_if(
+            next->members.begin(), next->members.end(), [](const auto& m) { return m.leaving; }));
         break;
     }
-    if (wake_) wake_();
+    if (wakeLoop_) wakeLoop_();
 }
 
-void Reader::keep() {
-    if (config_.keep.empty()) return;
-    const std::string error = replaceDurably(config_.keep, encodeKept(*gate_.inForce()));
+void NodeFileMonitor::saveKeptVersion() {
+    if (config_.keptVersionPath.empty()) return;
+    const std::string error =
+        writeFileAtomically(config_.keptVersionPath, encodeKeptVersion(*membershipManager_.current()));
     if (error.empty()) return;
-    note(true, "in force but not kept", {{"version", gate_.inForce()->version}, {"reason", error}});
+    addLogMessage(true, "in force but not kept",
+                  {{"version", membershipManager_.current()->version}, {"reason", error}});
     const std::lock_guard lock(mutex_);
-    ++status_.keepFailed;
+    ++status_.keepFailureCount;
 }
 
-std::optional<Reader::Handed> Reader::take(Handed spent) {
+std::optional<NodeFileMonitor::MembershipUpdate> NodeFileMonitor::takeUpdate(MembershipUpdate spent) {
     const std::lock_guard lock(mutex_);
-    if (spent.membership) spent_.push_back(std::move(spent));
-    std::optional<Handed> out = std::move(handed_);
-    handed_.reset();
-    if (out) taken_ = out->membership;
+    if (spent.membership) retiredUpdates_.push_back(std::move(spent));
+    std::optional<MembershipUpdate> out = std::move(pendingUpdate_);
+    pendingUpdate_.reset();
+    if (out) loopMembership_ = out->membership;
     return out;
 }
 
-Status Reader::status() const {
+NodeFileStatus NodeFileMonitor::status() const {
     const std::lock_guard lock(mutex_);
     return status_;
 }
 
-void Reader::note(bool warn, std::string message, LogFields fields) {
+void NodeFileMonitor::addLogMessage(bool warn, std::string message, LogFields fields) {
     {
         const std::lock_guard lock(mutex_);
-        if (notes_.size() < limits_.logLinesPerSecond * 2)
-            notes_.push_back({warn, std::move(message), std::move(fields)});
+        if (logMessages_.size() < limits_.maxLogLinesPerSecond * 2)
+            logMessages_.push_back({warn, std::move(message), std::move(fields)});
     }
-    if (wake_) wake_();
+    if (wakeLoop_) wakeLoop_();
 }
 
-std::vector<Note> Reader::takeNotes() {
+std::vector<DeferredLogMessage> NodeFileMonitor::takeLogMessages() {
     const std::lock_guard lock(mutex_);
-    return std::exchange(notes_, {});
+    return std::exchange(logMessages_, {});
 }
 
 }  // namespace martencove::files
--- a/src/files/source.cpp
+++ b/src/files/source.cpp
@@ -15,126 +15,130 @@
 // The same number for a name on every scheduler. 64 bits: at 100,000 nodes two names would share one of 32.
 NodeId idOf(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
 
-NodeEntry entryOf(const membership::Change& change) {
+NodeEntry entryOf(const membership::MemberChange& change) {
     const membership::Member& m = change.member;
     NodeEntry out;
     out.id = idOf(m.name);
     out.name = m.name;
-    out.dial = m.dial;
+    out.address = m.address;
     out.shard = m.shard;
     out.weight = m.weight > 0 ? m.weight : 1;  // of weight 0: told as draining
-    out.bornMs = m.bornMs;
-    const bool nothing = change.step == membership::Step::draining || m.weight <= 0;
-    out.state = change.step == membership::Step::gone ? NodeState::gone
-                : nothing                             ? NodeState::draining
-                                                      : NodeState::ready;
+    out.bootTimeMs = m.bootTimeMs;
+    const bool nothing = change.targetState == membership::TargetState::draining || m.weight <= 0;
+    out.state = change.targetState == membership::TargetState::gone ? NodeState::gone
+                : nothing                                           ? NodeState::draining
+                                                                    : NodeState::ready;
     return out;
 }
 
 }  // namespace
 
-Wake::Wake() : fd_(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
+EventFd::EventFd() : fd_(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
     if (fd_ < 0) throw std::runtime_error("no event descriptor for the reader of files");
 }
-Wake::~Wake() { close(fd_); }
-void Wake::raise() const {
+EventFd::~EventFd() { close(fd_); }
+void EventFd::notify() const {
     const std::uint64_t one = 1;
     (void)!write(fd_, &one, sizeof one);  // full means that the loop is woken already
 }
-void Wake::clear() const {
+void EventFd::clear() const {
     std::uint64_t count = 0;
     (void)!read(fd_, &count, sizeof count);
 }
 
-Source::Source(event_base* base, Config config, const Clock& clock, const Limits& limits, Counters& counters,
-               Log& log)
+NodeFileSource::NodeFileSource(event_base* base, NodeFileConfig config, const Clock& clock,
+                               const Limits& limits, Counters& counters, Log& log)
     : clock_(clock),
       limits_(limits),
       counters_(counters),
       log_(log),
-      reader_(std::move(config), clock, limits, [this] { wake_.raise(); }),
-      woken_(event_new(
-          base, wake_.fd(), EV_READ | EV_PERSIST,
+      monitor_(std::move(config), clock, limits, [this] { wakeFd_.notify(); }),
+      wakeEvent_(event_new(
+          base, wakeFd_.fd(), EV_READ | EV_PERSIST,
           [](evutil_socket_t, short, void* arg) {
-              auto* self = static_cast<Source*>(arg);
-              self->wake_.clear();
-              self->taken();
+              auto* self = static_cast<NodeFileSource*>(arg);
+              self->wakeFd_.clear();
+              self->onMonitorWake();
           },
           this)),
-      next_(base, [this] { slice(); }) {}
+      nextSliceTimer_(base, [this] { deliverSlice(); }) {}
 
-NodeList Source::first() {
+NodeList NodeFileSource::takeInitialNodes() {
     NodeList out{0, true, {}};
-    if (auto handed = reader_.take({})) {
-        now_ = std::move(*handed);
-        for (const membership::Change& change : now_.changes) out.nodes.push_back(entryOf(change));
-        done_ = now_.changes.size();
-        version_ = now_.membership->version;
-        out.version = static_cast<std::int64_t>(version_);
+    if (auto handed = monitor_.takeUpdate({})) {
+        currentUpdate_ = std::move(*handed);
+        for (const membership::MemberChange& change : currentUpdate_.changes)
+            out.nodes.push_back(entryOf(change));
+        deliveredCount_ = currentUpdate_.changes.size();
+        appliedVersion_ = currentUpdate_.membership->version;
+        out.version = static_cast<std::int64_t>(appliedVersion_);
     }
     return out;
 }
 
-void Source::start(std::function<void(const NodeList&)> told) {
-    told_ = std::move(told);
-    event_add(woken_.get(), nullptr);
-    taken();
-    reader_.start();
+void NodeFileSource::start(std::function<void(const NodeList&)> told) {
+    onNodes_ = std::move(told);
+    event_add(wakeEvent_.get(), nullptr);
+    onMonitorWake();
+    monitor_.start();
 }
 
-void Source::taken() {
-    for (const Note& note : reader_.takeNotes())
-        note.warn ? log_.warn("nodes", note.message, note.fields)
-                  : log_.info("nodes", note.message, note.fields);
-    countStatus();
-    slice();
+void NodeFileSource::onMonitorWake() {
+    for (const DeferredLogMessage& note : monitor_.takeLogMessages())
+        note.isWarning ? log_.warn("nodes", note.message, note.fields)
+                       : log_.info("nodes", note.message, note.fields);
+    updateCounters();
+    deliverSlice();
 }
 
 // A shard's changes go on in one turn, so that every decision sees a shard as one version has it.
-void Source::slice() {
-    if (done_ >= now_.changes.size()) {
-        auto handed = reader_.take(std::move(now_));
-        now_ = {};
+void NodeFileSource::deliverSlice() {
+    if (deliveredCount_ >= currentUpdate_.changes.size()) {
+        auto handed = monitor_.takeUpdate(std::move(currentUpdate_));
+        currentUpdate_ = {};
         if (!handed) return;
-        now_ = std::move(*handed);
-        done_ = 0;
+        currentUpdate_ = std::move(*handed);
+        deliveredCount_ = 0;
     }
     const double startMs = clock_.nowMs();
-    while (done_ < now_.changes.size() && clock_.nowMs() - startMs < limits_.swapSliceMs) {
-        NodeList list{static_cast<std::int64_t>(now_.membership->version), false, {}};
-        const std::size_t most = std::min(now_.changes.size(), done_ + limits_.swapSlice);
-        const auto shard = [&](std::size_t i) { return now_.changes[i].member.shard; };
-        while (done_ < most || (done_ < now_.changes.size() && done_ < most + limits_.swapSlice &&
-                                shard(done_) == shard(done_ - 1)))
-            list.nodes.push_back(entryOf(now_.changes[done_++]));
-        told_(list);
+    while (deliveredCount_ < currentUpdate_.changes.size() &&
+           clock_.nowMs() - startMs < limits_.nodeChangeTimeSliceMs) {
+        NodeList list{static_cast<std::int64_t>(currentUpdate_.membership->version), false, {}};
+        const std::size_t most =
+            std::min(currentUpdate_.changes.size(), deliveredCount_ + limits_.nodeChangesPerBatch);
+        const auto shard = [&](std::size_t i) { return currentUpdate_.changes[i].member.shard; };
+        while (deliveredCount_ < most || (deliveredCount_ < currentUpdate_.changes.size() &&
+                                          deliveredCount_ < most + limits_.nodeChangesPerBatch &&
+                                          shard(deliveredCount_) == shard(deliveredCount_ - 1)))
+            list.nodes.push_back(entryOf(currentUpdate_.changes[deliveredCount_++]));
+        onNodes_(list);
     }
     longestSliceMs_ = std::max(longestSliceMs_, clock_.nowMs() - startMs);
-    if (done_ < now_.changes.size()) return next_.start(0);
-    if (now_.membership->version != version_) {
-        version_ = now_.membership->version;
+    if (deliveredCount_ < currentUpdate_.changes.size()) return nextSliceTimer_.start(0);
+    if (currentUpdate_.membership->version != appliedVersion_) {
+        appliedVersion_ = currentUpdate_.membership->version;
         log_.info("nodes", "in force",
-                  {{"version", version_},
-                   {"nodes", now_.membership->members.size()},
-                   {"changed", now_.changes.size()}});
+                  {{"version", appliedVersion_},
+                   {"nodes", currentUpdate_.membership->members.size()},
+                   {"changed", currentUpdate_.changes.size()}});
     }
-    next_.start(0);  // there may be a newer one
+    nextSliceTimer_.start(0);  // there may be a newer one
 }
 
-void Source::countStatus() {
-    const Status now = reader_.status();
-    const auto count = [&](const char* name, std::uint64_t Status::*field) {
-        if (now.*field > counted_.*field) counters_.add(name, now.*field - counted_.*field);
+void NodeFileSource::updateCounters() {
+    const NodeFileStatus now = monitor_.status();
+    const auto count = [&](const char* name, std::uint64_t NodeFileStatus::*field) {
+        if (now.*field > countedStatus_.*field) counters_.add(name, now.*field - countedStatus_.*field);
     };
-    count("files_accepted", &Status::accepted);
-    count("files_refused", &Status::refused);
-    count("files_incomplete", &Status::incomplete);
-    count("files_read", &Status::reads);
-    count("files_not_kept", &Status::keepFailed);
-    count("files_overflow", &Status::overflows);
-    counted_ = now;
+    count("files_accepted", &NodeFileStatus::acceptedCount);
+    count("files_refused", &NodeFileStatus::refusedCount);
+    count("files_incomplete", &NodeFileStatus::incompleteCount);
+    count("files_read", &NodeFileStatus::readCount);
+    count("files_not_kept", &NodeFileStatus::keepFailureCount);
+    count("files_overflow", &NodeFileStatus::overflowCount);
+    countedStatus_ = now;
 }
 
-std::string Source::statusText() const { return reader_.status().text(clock_.nowMs()); }
+std::string NodeFileSource::statusText() const { return monitor_.status().toText(clock_.nowMs()); }
 
 }  // namespace martencove::files
--- a/src/files/text_format.cpp
+++ b/src/files/text_format.cpp
@@ -11,13 +11,13 @@
     void AddError(int line, int column, const std::string& message) override {
         if (error.reason.empty()) error = {line + 1, column + 1, message};
     }
-    TextError error;
+    TextParseError error;
 };
 
 }  // namespace
 
-std::optional<TextError> parseText(std::string_view bytes, google::protobuf::Message& message,
-                                   google::protobuf::TextFormat::ParseInfoTree* places) {
+std::optional<TextParseError> parseTextFormat(std::string_view bytes, google::protobuf::Message& message,
+                                              google::protobuf::TextFormat::ParseInfoTree* places) {
     FirstError first;
     google::protobuf::TextFormat::Parser parser;
     parser.RecordErrorsTo(&first);
--- a/src/files/text_format.h
+++ b/src/files/text_format.h
@@ -10,7 +10,7 @@
 namespace martencove::files {
 
 /// Line and column count from 1; 0: not known.
-struct TextError {
+struct TextParseError {
     int line = 0;
     int column = 0;
     std::string reason;
@@ -18,7 +18,7 @@
 
 /// Reads `bytes` into `message`; nothing where that went well. `places`, where it is wanted, gets where each
 /// field stands. `bytes` must be shorter than 2 GiB.
-[[nodiscard]] std::optional<TextError> parseText(
+[[nodiscard]] std::optional<TextParseError> parseTextFormat(
     std::string_view bytes, google::protobuf::Message& message,
     google::protobuf::TextFormat::ParseInfoTree* places = nullptr);
 
--- a/src/files/watch.cpp
+++ b/src/files/watch.cpp
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-std::string fingerprint(const std::vector<std::string>& files) {
+std::string computeFingerprint(const std::vector<std::string>& files) {
     std::string out;
     for (const std::string& file : files) {
         struct stat s {};
@@ -80,7 +80,7 @@
     return out;
 }
 
-std::vector<std::string> filesOf(const std::vector<std::string>& paths) {
+std::vector<std::string> expandPaths(const std::vector<std::string>& paths) {
     std::vector<std::string> out;
     for (const std::string& path : paths) {
         std::error_code error;
@@ -100,16 +100,16 @@
     return out;
 }
 
-Watch::Watch(std::vector<std::string> paths)
+FileWatcher::FileWatcher(std::vector<std::string> paths)
     : paths_(std::move(paths)), fd_(inotify_init1(IN_NONBLOCK | IN_CLOEXEC)) {
-    follow();
+    updateWatches();
 }
 
-Watch::~Watch() {
+FileWatcher::~FileWatcher() {
     if (fd_ >= 0) close(fd_);
 }
 
-void Watch::follow() {
+void FileWatcher::updateWatches() {
     if (fd_ < 0) return;
     std::set<std::string> wanted;
     for (const std::string& path : paths_) foldersOf(path, wanted);
@@ -119,15 +119,15 @@
         const int watch = inotify_add_watch(fd_, folder.c_str(), kEvents | IN_ONLYDIR);
         if (watch >= 0) now[folder] = watch;
     }
-    for (const auto& [folder, watch] : folders_) {
+    for (const auto& [folder, watch] : watchDescriptors_) {
         const auto same = [watch = watch](const auto& e) { return e.second == watch; };
         if (std::none_of(now.begin(), now.end(), same)) (void)inotify_rm_watch(fd_, watch);
     }
-    folders_ = std::move(now);
+    watchDescriptors_ = std::move(now);
 }
 
-Watch::Seen Watch::take() {
-    Seen seen;
+FileWatcher::EventSummary FileWatcher::readEvents() {
+    EventSummary seen;
     bool moved = false;
     alignas(inotify_event) std::array<char, 16 * 1024> buffer;
     for (;;) {
@@ -138,13 +138,13 @@
             inotify_event event;
             std::memcpy(&event, buffer.data() + at, sizeof event);
             at += static_cast<ssize_t>(sizeof event + event.len);
-            seen.any = true;
-            seen.closed = seen.closed || (event.mask & (IN_CLOSE_WRITE | IN_MOVED_TO)) != 0;
-            seen.lost = seen.lost || (event.mask & IN_Q_OVERFLOW) != 0;
+            seen.anyEvent = true;
+            seen.writeFinished = seen.writeFinished || (event.mask & (IN_CLOSE_WRITE | IN_MOVED_TO)) != 0;
+            seen.queueOverflowed = seen.queueOverflowed || (event.mask & IN_Q_OVERFLOW) != 0;
             moved = moved || (event.mask & ~static_cast<std::uint32_t>(IN_CLOSE_WRITE | IN_MODIFY)) != 0;
         }
     }
-    if (moved) follow();
+    if (moved) updateWatches();
     return seen;
 }
 
--- a/src/files/watch.h
+++ b/src/files/watch.h
@@ -11,36 +11,36 @@
 namespace martencove::files {
 
 /// What a look from outside shows of the files that paths mean: equal texts, unchanged files, mostly.
-[[nodiscard]] std::string fingerprint(const std::vector<std::string>& files);
+[[nodiscard]] std::string computeFingerprint(const std::vector<std::string>& files);
 
 /// The files that paths mean now: a folder stands for its *.textproto files, by name. A path that is not
 /// there stands for itself.
-[[nodiscard]] std::vector<std::string> filesOf(const std::vector<std::string>& paths);
+[[nodiscard]] std::vector<std::string> expandPaths(const std::vector<std::string>& paths);
 
-class Watch {
+class FileWatcher {
 public:
-    explicit Watch(std::vector<std::string> paths);
-    ~Watch();
-    Watch(const Watch&) = delete;
-    Watch& operator=(const Watch&) = delete;
+    explicit FileWatcher(std::vector<std::string> paths);
+    ~FileWatcher();
+    FileWatcher(const FileWatcher&) = delete;
+    FileWatcher& operator=(const FileWatcher&) = delete;
 
     /// Readable when something happened. -1: the system gives no watches, only looks are left.
     [[nodiscard]] int fd() const { return fd_; }
 
-    struct Seen {
-        bool any = false;
-        bool closed = false;  ///< a writer closed or renamed a file: it is likely to be whole
-        bool lost = false;    ///< the queue overflowed
+    struct EventSummary {
+        bool anyEvent = false;
+        bool writeFinished = false;    ///< a writer closed or renamed a file: it is likely to be whole
+        bool queueOverflowed = false;  ///< the queue overflowed
     };
     /// Takes what has happened, and follows folders that were made, moved or linked anew.
-    Seen take();
+    EventSummary readEvents();
 
 private:
-    void follow();
+    void updateWatches();
 
     std::vector<std::string> paths_;
     int fd_;
-    std::map<std::string, int> folders_;  // watch descriptors
+    std::map<std::string, int> watchDescriptors_;  // watch descriptors
 };
 
 }  // namespace martencove::files
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -92,28 +92,31 @@
 
 }  // namespace
 
-void Descriptor::reset(int fd) {
+void FileDescriptor::reset(int fd) {
     if (fd_ >= 0) close(fd_);
     fd_ = fd;
 }
 
-int Taken::take(const std::string& name) {
+int ReceivedHandover::takeSocket(const std::string& name) {
     const auto at = sockets.find(name);
     return at == sockets.end() ? -1 : at->second.release();
 }
 
-void Taken::ready() const { (void)!send(giver.get(), &kReady, 1, MSG_NOSIGNAL | MSG_DONTWAIT); }
+void ReceivedHandover::notifyReady() const {
+    (void)!send(giverConnection.get(), &kReady, 1, MSG_NOSIGNAL | MSG_DONTWAIT);
+}
 
-std::optional<Taken> ask(const std::string& path, const Limits& limits) {
+std::optional<ReceivedHandover> requestHandover(const std::string& path, const Limits& limits) {
     const auto address = addressOf(path);
     if (!address) return std::nullopt;
-    Taken out;
-    out.giver.reset(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    const timeval most = timevalOf(limits.handoverMs);
-    if (out.giver.get() < 0 ||
-        setsockopt(out.giver.get(), SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most) != 0 ||
-        connect(out.giver.get(), reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0 ||
-        !sameUser(out.giver.get()))
+    ReceivedHandover out;
+    out.giverConnection.reset(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    const timeval most = toTimeval(limits.handoverTimeoutMs);
+    if (out.giverConnection.get() < 0 ||
+        setsockopt(out.giverConnection.get(), SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most) != 0 ||
+        connect(out.giverConnection.get(), reinterpret_cast<const sockaddr*>(&*address), sizeof *address) !=
+            0 ||
+        !sameUser(out.giverConnection.get()))
         return std::nullopt;
     char names[kNamesBytes];
     alignas(cmsghdr) char control[CMSG_SPACE(kMostSockets * sizeof(int))] = {};
@@ -124,9 +127,9 @@
     message.msg_control = control;
     message.msg_controllen = sizeof control;
     ssize_t got = 0;
-    do got = recvmsg(out.giver.get(), &message, MSG_CMSG_CLOEXEC);
+    do got = recvmsg(out.giverConnection.get(), &message, MSG_CMSG_CLOEXEC);
     while (got < 0 && errno == EINTR);
-    std::vector<Descriptor> fds;
+    std::vector<FileDescriptor> fds;
     for (cmsghdr* head = CMSG_FIRSTHDR(&message); got > 0 && head != nullptr;
          head = CMSG_NXTHDR(&message, head)) {
         if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS) continue;
@@ -153,27 +156,28 @@
     }
     if (out.sockets.empty()) return std::nullopt;
     if (memory)
-        out.memory =
-            readMemory(out.giver.get(), std::string(all.substr(std::min(all.size(), line.size() + 1))));
+        out.learnedState = readMemory(out.giverConnection.get(),
+                                      std::string(all.substr(std::min(all.size(), line.size() + 1))));
     return out;
 }
 
-Giver::Giver(event_base* base, std::string path, std::function<std::map<std::string, int>()> sockets,
-             std::function<std::string()> memory, std::function<void(bool)> aside, Counters& counters,
-             Log& log)
+HandoverServer::HandoverServer(event_base* base, std::string path,
+                               std::function<std::map<std::string, int>()> sockets,
+                               std::function<std::string()> memory, std::function<void(bool)> aside,
+                               Counters& counters, Log& log)
     : base_(base),
       path_(std::move(path)),
-      sockets_(std::move(sockets)),
-      memory_(std::move(memory)),
-      aside_(std::move(aside)),
+      getSockets_(std::move(sockets)),
+      exportState_(std::move(memory)),
+      onTakeoverChange_(std::move(aside)),
       counters_(counters),
       log_(log) {}
 
 // Under a name of its own first, so that whoever asks meets one that listens or none.
-void Giver::listen() {
+void HandoverServer::listen() {
     const std::string own = path_ + '.' + std::to_string(getpid());
     const auto address = addressOf(own);
-    Descriptor fd(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+    FileDescriptor fd(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     (void)unlink(own.c_str());
     if (!address || fd.get() < 0 ||
         bind(fd.get(), reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0 ||
@@ -181,50 +185,54 @@
         counters_.add("handover_off");
         return log_.warn("handover", "cannot listen, a next process gets no sockets", {{"path", path_}});
     }
-    asked_.reset();
+    acceptEvent_.reset();
     listener_ = std::move(fd);
-    asked_.reset(event_new(
+    acceptEvent_.reset(event_new(
         base_, listener_.get(), EV_READ | EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<Giver*>(self)->asked(); }, this));
-    event_add(asked_.get(), nullptr);
+        [](evutil_socket_t, short, void* self) { static_cast<HandoverServer*>(self)->onConnection(); },
+        this));
+    event_add(acceptEvent_.get(), nullptr);
 }
 
-void Giver::asked() {
-    Descriptor taker(accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
+void HandoverServer::onConnection() {
+    FileDescriptor taker(accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
     if (taker.get() < 0) return;
-    if (taker_.get() >= 0 || !sameUser(taker.get()) || !give(taker.get(), sockets_(), memory_())) {
+    if (successorConnection_.get() >= 0 || !sameUser(taker.get()) ||
+        !give(taker.get(), getSockets_(), exportState_())) {
         counters_.add("handover_refused");
-        return log_.warn("handover", "asked for sockets, not given",
-                         {{"reason", taker_.get() >= 0 ? "another process has them" : "not one of ours"}});
+        return log_.warn(
+            "handover", "asked for sockets, not given",
+            {{"reason", successorConnection_.get() >= 0 ? "another process has them" : "not one of ours"}});
     }
     counters_.add("handover_given");
     log_.info("handover", "sockets given to a next process");
-    taker_ = std::move(taker);
-    heard_.reset(event_new(
-        base_, taker_.get(), EV_READ | EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<Giver*>(self)->heard(); }, this));
-    event_add(heard_.get(), nullptr);
+    successorConnection_ = std::move(taker);
+    successorEvent_.reset(event_new(
+        base_, successorConnection_.get(), EV_READ | EV_PERSIST,
+        [](evutil_socket_t, short, void* self) { static_cast<HandoverServer*>(self)->onSuccessorMessage(); },
+        this));
+    event_add(successorEvent_.get(), nullptr);
 }
 
-void Giver::heard() {
+void HandoverServer::onSuccessorMessage() {
     char said = 0;
-    const ssize_t got = recv(taker_.get(), &said, 1, 0);
+    const ssize_t got = recv(successorConnection_.get(), &said, 1, 0);
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (got <= 0) return over();
-    if (said != kReady || std::exchange(isAside_, true)) return;
+    if (got <= 0) return onSuccessorGone();
+    if (said != kReady || std::exchange(successorTookOver_, true)) return;
     log_.info("handover", "the next process takes clients, this one steps aside");
-    aside_(true);
+    onTakeoverChange_(true);
 }
 
 // The next process is gone. If it had taken over, clients would find nobody.
-void Giver::over() {
-    heard_.reset();
-    taker_.reset();
+void HandoverServer::onSuccessorGone() {
+    successorEvent_.reset();
+    successorConnection_.reset();
     counters_.add("handover_over");
-    log_.warn("handover", "the next process is gone", {{"took_clients", isAside_}});
-    if (!std::exchange(isAside_, false)) return;
+    log_.warn("handover", "the next process is gone", {{"took_clients", successorTookOver_}});
+    if (!std::exchange(successorTookOver_, false)) return;
     listen();
-    aside_(false);
+    onTakeoverChange_(false);
 }
 
 }  // namespace martencove::handover
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -16,12 +16,12 @@
 namespace martencove::handover {
 
 /// A descriptor with an owner.
-class Descriptor {
+class FileDescriptor {
 public:
-    explicit Descriptor(int fd = -1) : fd_(fd) {}
-    ~Descriptor() { reset(); }
-    Descriptor(Descriptor&& from) noexcept : fd_(from.release()) {}
-    Descriptor& operator=(Descriptor&& from) noexcept {
+    explicit FileDescriptor(int fd = -1) : fd_(fd) {}
+    ~FileDescriptor() { reset(); }
+    FileDescriptor(FileDescriptor&& from) noexcept : fd_(from.release()) {}
+    FileDescriptor& operator=(FileDescriptor&& from) noexcept {
         if (this != &from) reset(from.release());
         return *this;
     }
@@ -35,51 +35,51 @@
 
 /// What a new process gets: sockets by their names, what the other one has learned, and the connection on
 /// which it says that it takes clients.
-struct Taken {
-    std::map<std::string, Descriptor> sockets;
-    std::string memory;  ///< empty: none came, or not whole
-    Descriptor giver;
+struct ReceivedHandover {
+    std::map<std::string, FileDescriptor> sockets;
+    std::string learnedState;  ///< empty: none came, or not whole
+    FileDescriptor giverConnection;
 
     /// The socket of that name, whose owner the caller is from now on; -1: there is none.
-    [[nodiscard]] int take(const std::string& name);
+    [[nodiscard]] int takeSocket(const std::string& name);
     /// Says so. The connection stays: its end tells the giver that this process is gone.
-    void ready() const;
+    void notifyReady() const;
 };
 
 /// Asks at `path` for the sockets of a process that serves. Nothing where none is there or it does not answer
 /// in time; waits for `limits.handoverMs` at most.
-[[nodiscard]] std::optional<Taken> ask(const std::string& path, const Limits& limits);
+[[nodiscard]] std::optional<ReceivedHandover> requestHandover(const std::string& path, const Limits& limits);
 
-class Giver {
+class HandoverServer {
 public:
     /// `sockets`: by name, those that are open. `memory`: what was learned, which is the next process's once
     /// it is asked for. `aside`: whether another process takes clients now.
-    Giver(event_base* base, std::string path, std::function<std::map<std::string, int>()> sockets,
-          std::function<std::string()> memory, std::function<void(bool aside)> aside, Counters& counters,
-          Log& log);
-    Giver(const Giver&) = delete;
-    Giver& operator=(const Giver&) = delete;
+    HandoverServer(event_base* base, std::string path, std::function<std::map<std::string, int>()> sockets,
+                   std::function<std::string()> memory, std::function<void(bool aside)> aside,
+                   Counters& counters, Log& log);
+    HandoverServer(const HandoverServer&) = delete;
+    HandoverServer& operator=(const HandoverServer&) = delete;
 
     /// Listens at its path from now on, in the place of whoever did.
     void listen();
 
 private:
-    void asked();
-    void heard();
-    void over();
+    void onConnection();
+    void onSuccessorMessage();
+    void onSuccessorGone();
 
     event_base* base_;
     std::string path_;
-    std::function<std::map<std::string, int>()> sockets_;
-    std::function<std::string()> memory_;
-    std::function<void(bool)> aside_;
+    std::function<std::map<std::string, int>()> getSockets_;
+    std::function<std::string()> exportState_;
+    std::function<void(bool)> onTakeoverChange_;
     Counters& counters_;
     Log& log_;
-    Descriptor listener_;
-    Descriptor taker_;  // one at a time
-    bool isAside_ = false;
-    Owned<event> asked_;
-    Owned<event> heard_;
+    FileDescriptor listener_;
+    FileDescriptor successorConnection_;  // one at a time
+    bool successorTookOver_ = false;
+    LibeventPtr<event> acceptEvent_;
+    LibeventPtr<event> successorEvent_;
 };
 
 }  // namespace martencove::handover
--- a/src/http/answer.cpp
+++ b/src/http/answer.cpp
@@ -7,38 +7,38 @@
 
 namespace martencove {
 
-AnswerReader::Got AnswerReader::take(std::string_view& in) {
-    Got got = Got::whole;
-    while (got == Got::whole && part_ != Part::done) got = step(in);
+HttpResponseParser::ParseResult HttpResponseParser::parse(std::string_view& in) {
+    ParseResult got = ParseResult::complete;
+    while (got == ParseResult::complete && state_ != State::done) got = parseNext(in);
     return got;
 }
 
-AnswerReader::Got AnswerReader::step(std::string_view& in) {
-    if (part_ == Part::untilEnd) {
+HttpResponseParser::ParseResult HttpResponseParser::parseNext(std::string_view& in) {
+    if (state_ == State::untilClose) {
         body += in;
         in.remove_prefix(in.size());
-        return Got::more;
+        return ParseResult::needMore;
     }
-    if (part_ == Part::body) return bytes(in, Part::done);
-    if (part_ == Part::chunk) return bytes(in, Part::chunkEnd);
-    if (const Got got = takeLine(in); got != Got::whole) return got;
-    Got got = Got::whole;
-    switch (part_) {
-        case Part::status:
-            got = status();
+    if (state_ == State::body) return readBody(in, State::done);
+    if (state_ == State::chunkData) return readBody(in, State::chunkDataEnd);
+    if (const ParseResult got = readLine(in); got != ParseResult::complete) return got;
+    ParseResult got = ParseResult::complete;
+    switch (state_) {
+        case State::statusLine:
+            got = parseStatusLine();
             break;
-        case Part::headers:
-            got = line_.empty() ? headEnds() : header();
+        case State::headers:
+            got = line_.empty() ? finishHeaders() : parseHeader();
             break;
-        case Part::chunkSize:
-            got = chunkSize();
+        case State::chunkSize:
+            got = parseChunkSize();
             break;
-        case Part::chunkEnd:
-            got = line_.empty() ? Got::whole : Got::bad;
-            part_ = Part::chunkSize;
+        case State::chunkDataEnd:
+            got = line_.empty() ? ParseResult::complete : ParseResult::invalid;
+            state_ = State::chunkSize;
             break;
-        case Part::trailers:
-            if (line_.empty()) part_ = Part::done;
+        case State::trailers:
+            if (line_.empty()) state_ = State::done;
             break;
         default:
             break;
@@ -48,93 +48,95 @@
 }
 
 // Lines end with CR LF, and hold neither.
-AnswerReader::Got AnswerReader::takeLine(std::string_view& in) {
+HttpResponseParser::ParseResult HttpResponseParser::readLine(std::string_view& in) {
     const std::size_t end = std::min(in.find('\n'), in.size());
     const std::size_t taken = std::min(end + 1, in.size());
-    headBytes_ += taken;
+    headerBytes_ += taken;
     line_ += in.substr(0, taken);
     in.remove_prefix(taken);
-    if (headBytes_ > limits_.headers) return Got::bad;
+    if (headerBytes_ > limits_.maxHeaderBytes) return ParseResult::invalid;
     constexpr std::string_view kVersion = "HTTP/1.";
     const std::size_t seen = std::min(line_.size(), kVersion.size());
-    if (part_ == Part::status && line_.compare(0, seen, kVersion, 0, seen) != 0) return Got::bad;
-    if (line_.empty() || line_.back() != '\n') return Got::more;
+    if (state_ == State::statusLine && line_.compare(0, seen, kVersion, 0, seen) != 0)
+        return ParseResult::invalid;
+    if (line_.empty() || line_.back() != '\n') return ParseResult::needMore;
     line_.pop_back();
-    if (line_.empty() || line_.back() != '\r') return Got::bad;
+    if (line_.empty() || line_.back() != '\r') return ParseResult::invalid;
     line_.pop_back();
-    return line_.find('\r') == line_.npos ? Got::whole : Got::bad;
+    return line_.find('\r') == line_.npos ? ParseResult::complete : ParseResult::invalid;
 }
 
 // "HTTP/1.1 200" and perhaps a reason.
-AnswerReader::Got AnswerReader::status() {
+HttpResponseParser::ParseResult HttpResponseParser::parseStatusLine() {
     const std::string_view line = line_;
     if (line.size() < 12 || (line[7] != '0' && line[7] != '1') || line[8] != ' ' ||
-        (line.size() > 12 && line[12] != ' ') || !readDigits(line.substr(9, 3), code) || code < 100 ||
-        code == 101)
-        return Got::bad;
+        (line.size() > 12 && line[12] != ' ') || !parseDecimal(line.substr(9, 3), statusCode) ||
+        statusCode < 100 || statusCode == 101)
+        return ParseResult::invalid;
     keepAlive = line[7] == '1';
-    part_ = Part::headers;
-    return Got::whole;
+    state_ = State::headers;
+    return ParseResult::complete;
 }
 
-AnswerReader::Got AnswerReader::header() {
+HttpResponseParser::ParseResult HttpResponseParser::parseHeader() {
     const std::string_view line = line_;
     const std::size_t colon = line.find(':');
-    if (colon == line.npos || !isToken(line.substr(0, colon))) return Got::bad;
-    const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
-    if (sameText(name, "Content-Length")) {
-        if (sized_ || !readDigits(value, left_)) return Got::bad;
-        sized_ = true;
-    } else if (sameText(name, "Transfer-Encoding")) {
-        if (chunked_ || !sameText(value, "chunked")) return Got::bad;
+    if (colon == line.npos || !isToken(line.substr(0, colon))) return ParseResult::invalid;
+    const std::string_view name = line.substr(0, colon), value = trimWhitespace(line.substr(colon + 1));
+    if (equalsIgnoreCase(name, "Content-Length")) {
+        if (hasContentLength_ || !parseDecimal(value, remainingBytes_)) return ParseResult::invalid;
+        hasContentLength_ = true;
+    } else if (equalsIgnoreCase(name, "Transfer-Encoding")) {
+        if (chunked_ || !equalsIgnoreCase(value, "chunked")) return ParseResult::invalid;
         chunked_ = true;
-    } else if (sameText(name, "Connection")) {
-        keepAlive = keepAlive && !sameText(value, "close");
-    } else if (sameText(name, "Srv-Declined")) {
+    } else if (equalsIgnoreCase(name, "Connection")) {
+        keepAlive = keepAlive && !equalsIgnoreCase(value, "close");
+    } else if (equalsIgnoreCase(name, "Srv-Declined")) {
         declined = value == "1";
-    } else if (sameText(name, "Content-Type")) {
+    } else if (equalsIgnoreCase(name, "Content-Type")) {
         contentType = value;
     }
-    return Got::whole;
+    return ParseResult::complete;
 }
 
-AnswerReader::Got AnswerReader::headEnds() {
-    if (code < 200) {  // for information only: the answer is still to come
-        if (sized_ || chunked_) return Got::bad;
+HttpResponseParser::ParseResult HttpResponseParser::finishHeaders() {
+    if (statusCode < 200) {  // for information only: the answer is still to come
+        if (hasContentLength_ || chunked_) return ParseResult::invalid;
         declined = false;
-        part_ = Part::status;
-        return Got::whole;
+        state_ = State::statusLine;
+        return ParseResult::complete;
     }
-    const bool none = code == 204 || code == 304;
-    if (sized_ && chunked_) return Got::bad;
-    if (!none && !sized_ && !chunked_) {
+    const bool none = statusCode == 204 || statusCode == 304;
+    if (hasContentLength_ && chunked_) return ParseResult::invalid;
+    if (!none && !hasContentLength_ && !chunked_) {
         keepAlive = false;
-        part_ = Part::untilEnd;
-        return Got::whole;
+        state_ = State::untilClose;
+        return ParseResult::complete;
     }
-    if (left_ > limits_.passMost) return Got::bad;
-    part_ = none ? Part::done : chunked_ ? Part::chunkSize : Part::body;
-    return Got::whole;
+    if (remainingBytes_ > limits_.maxStreamedAnswerBytes) return ParseResult::invalid;
+    state_ = none ? State::done : chunked_ ? State::chunkSize : State::body;
+    return ParseResult::complete;
 }
 
-AnswerReader::Got AnswerReader::chunkSize() {
-    const std::string_view digits = trimmed(std::string_view(line_).substr(0, line_.find(';')));
-    const auto [next, error] = std::from_chars(digits.data(), digits.data() + digits.size(), left_, 16);
+HttpResponseParser::ParseResult HttpResponseParser::parseChunkSize() {
+    const std::string_view digits = trimWhitespace(std::string_view(line_).substr(0, line_.find(';')));
+    const auto [next, error] =
+        std::from_chars(digits.data(), digits.data() + digits.size(), remainingBytes_, 16);
     if (digits.empty() || error != std::errc{} || next != digits.data() + digits.size() ||
-        left_ > limits_.passMost)
-        return Got::bad;
-    part_ = left_ == 0 ? Part::trailers : Part::chunk;
-    return Got::whole;
+        remainingBytes_ > limits_.maxStreamedAnswerBytes)
+        return ParseResult::invalid;
+    state_ = remainingBytes_ == 0 ? State::trailers : State::chunkData;
+    return ParseResult::complete;
 }
 
-AnswerReader::Got AnswerReader::bytes(std::string_view& in, Part next) {
-    const std::size_t taken = static_cast<std::size_t>(std::min<std::uint64_t>(left_, in.size()));
+HttpResponseParser::ParseResult HttpResponseParser::readBody(std::string_view& in, State next) {
+    const std::size_t taken = static_cast<std::size_t>(std::min<std::uint64_t>(remainingBytes_, in.size()));
     body += in.substr(0, taken);
     in.remove_prefix(taken);
-    left_ -= taken;
-    if (left_ > 0) return Got::more;
-    part_ = next;
-    return Got::whole;
+    remainingBytes_ -= taken;
+    if (remainingBytes_ > 0) return ParseResult::needMore;
+    state_ = next;
+    return ParseResult::complete;
 }
 
 }  // namespace martencove
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-bool framedWell(evhttp_request* from, std::string& wrong) {
+bool validateFraming(evhttp_request* from, std::string& wrong) {
     wrong = "";
     const char* uri = evhttp_request_get_uri(from);
     if (uri == nullptr || !printable(uri)) wrong = uri == nullptr ? "not readable" : "path";
@@ -57,8 +57,8 @@
         }
     }
     std::uint64_t bytes = 0;
-    if (seen.contains("content-length") && !readDigits(length, bytes)) wrong = "Content-Length";
-    if (!coding.empty() && !sameText(coding, "chunked")) wrong = "Transfer-Encoding";
+    if (seen.contains("content-length") && !parseDecimal(length, bytes)) wrong = "Content-Length";
+    if (!coding.empty() && !equalsIgnoreCase(coding, "chunked")) wrong = "Transfer-Encoding";
     if (!coding.empty() && seen.contains("content-length")) wrong = "Content-Length beside Transfer-Encoding";
     if (evhttp_request_get_command(from) != EVHTTP_REQ_PUT && (bytes > 0 || !coding.empty()))
         wrong = "a body";
@@ -80,15 +80,15 @@
         } else if (name == "shard") {
             good = readNumber(value, out.shard) && out.shard >= -1;
         } else if (name == "hosts") {
-            good = readNumber(value, out.hosts) && out.hosts >= 1;
+            good = readNumber(value, out.hostsOfVolume) && out.hostsOfVolume >= 1;
         }
         if (!good) return std::nullopt;
     }
     return units ? std::optional(out) : std::nullopt;
 }
 
-std::optional<HttpMessage> decodeMessage(evhttp_request* from, const limedrum::Site& site, double nowMs,
-                                         std::string& wrong) {
+std::optional<DecodedRequest> decodeRequest(evhttp_request* from, const limedrum::ProgramSettings& site,
+                                            double nowMs, std::string& wrong) {
     evkeyvalq* headers = evhttp_request_get_input_headers(from);
     const auto header = [&](const char* name) -> std::string {
         const char* value = evhttp_find_header(headers, name);
@@ -98,12 +98,12 @@
         wrong = what;
         return std::nullopt;
     };
-    HttpMessage out;
+    DecodedRequest out;
     Request& r = out.request;
     const char* rawUri = evhttp_request_get_uri(from);
     if (rawUri == nullptr) return refuse("path");
-    out.toNode.uri = rawUri;
-    const std::string_view uri = out.toNode.uri;
+    out.nodeRequest.uri = rawUri;
+    const std::string_view uri = out.nodeRequest.uri;
     const std::string_view path = uri.substr(0, uri.find('?'));
     const std::size_t second = path.find('/', 1);
     const std::size_t third = second == path.npos ? path.npos : path.find('/', second + 1);
@@ -126,18 +126,19 @@
     if (!info) return refuse("IO-Info");
     r.units = info->units;
     r.shard = info->shard;
-    if (site.shards > 0 && r.shard >= site.shards) return refuse("shard");
-    r.hosts = info->hosts;
+    if (site.shardCount > 0 && r.shard >= site.shardCount) return refuse("shard");
+    r.hostsOfVolume = info->hostsOfVolume;
 
-    out.toNode.write = evhttp_request_get_command(from) == EVHTTP_REQ_PUT;
-    if (!out.toNode.write && evhttp_request_get_command(from) != EVHTTP_REQ_GET) return refuse("method");
+    out.nodeRequest.isWrite = evhttp_request_get_command(from) == EVHTTP_REQ_PUT;
+    if (!out.nodeRequest.isWrite && evhttp_request_get_command(from) != EVHTTP_REQ_GET)
+        return refuse("method");
     for (const char* name : {"Req-Id", "Idempotency-Key", "Tier", "IO-Info", "Content-Type"}) {
         if (std::string value = header(name); !value.empty())
-            out.toNode.headers.emplace_back(name, std::move(value));
+            out.nodeRequest.headers.emplace_back(name, std::move(value));
     }
     evbuffer* body = evhttp_request_get_input_buffer(from);
-    out.toNode.body.resize(evbuffer_get_length(body));
-    evbuffer_copyout(body, out.toNode.body.data(), out.toNode.body.size());
+    out.nodeRequest.body.resize(evbuffer_get_length(body));
+    evbuffer_copyout(body, out.nodeRequest.body.data(), out.nodeRequest.body.size());
     return out;
 }
 
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -13,24 +13,25 @@
 namespace martencove {
 
 /// What the core needs of it, and what passes on to a node.
-struct HttpMessage {
+struct DecodedRequest {
     Request request;
-    NodeRequest toNode;
+    NodeRequest nodeRequest;
 };
 
 /// Whether all agree where the request ends, and on each of its fields. evhttp takes what is ambiguous: a
 /// length beside chunks, a body to a read, which it then reads as a request of its own, fields told twice.
-[[nodiscard]] bool framedWell(evhttp_request* from, std::string& wrong);
+[[nodiscard]] bool validateFraming(evhttp_request* from, std::string& wrong);
 
 /// Nothing for what the protocol does not allow; `wrong` then says what.
-[[nodiscard]] std::optional<HttpMessage> decodeMessage(evhttp_request* from, const limedrum::Site& site,
-                                                       double nowMs, std::string& wrong);
+[[nodiscard]] std::optional<DecodedRequest> decodeRequest(evhttp_request* from,
+                                                          const limedrum::ProgramSettings& site, double nowMs,
+                                                          std::string& wrong);
 
 /// The fields of "units=2,shard=5,hosts=3".
 struct IoInfo {
     double units = 1;
     int shard = -1;
-    int hosts = 1;
+    int hostsOfVolume = 1;
 };
 [[nodiscard]] std::optional<IoInfo> decodeIoInfo(std::string_view text);
 
--- a/src/http/node_link.h
+++ b/src/http/node_link.h
@@ -13,60 +13,61 @@
 namespace martencove {
 
 /// Where a long answer goes as it comes. Its end is told as that of any work.
-class AnswerSink {
+class ResponseSink {
 public:
-    virtual ~AnswerSink() = default;
+    virtual ~ResponseSink() = default;
     /// A good answer begins; `length`: of its body, nothing where that is not known. False: it is not wanted
     /// any more, and neither link nor sink may be there.
-    virtual bool begins(const std::string& contentType, std::optional<std::uint64_t> length) = 0;
-    virtual void piece(std::string bytes) = 0;
+    virtual bool onHeaders(const std::string& contentType, std::optional<std::uint64_t> length) = 0;
+    virtual void onBodyData(std::string bytes) = 0;
 };
 
 struct NodeRequest {
-    AnswerSink* sink = nullptr;  ///< null: the answer is held whole
-    bool write = false;
+    ResponseSink* sink = nullptr;  ///< null: the answer is held whole
+    bool isWrite = false;
     std::string uri;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
 };
 /// `deadlineMs`: what is left of its time, as the node is told.
-[[nodiscard]] std::string encode(const NodeRequest& request, const Address& node, double deadlineMs);
+[[nodiscard]] std::string encodeNodeRequest(const NodeRequest& request, const Address& node,
+                                            double deadlineMs);
 
-class NodeLink final : public Link {
+class HttpNodeConnection final : public NodeConnection {
 public:
     using Work = NodeRequest;
-    static constexpr const char* kOpened = "node_connection_opened";
-    static constexpr bool kDialsWithoutWork = true;
+    static constexpr const char* kOpenedCounter = "node_connection_opened";
+    static constexpr bool kCanPreconnect = true;
 
-    NodeLink(event_base* base, const Address& node, const NodeRequest&, const Limits& limits,
-             Counters& counters)
-        : Link(base, node, limits, counters) {}
+    HttpNodeConnection(event_base* base, const Address& node, const NodeRequest&, const Limits& limits,
+                       Counters& counters)
+        : NodeConnection(base, node, limits, counters) {}
 
-    ~NodeLink() override { hold(0); }
+    ~HttpNodeConnection() override { accountBufferedBytes(0); }
 
-    [[nodiscard]] bool fits(const Address& to, const NodeRequest&) const { return node() == to; }
-    void start(const NodeRequest& request, const AttemptTimes& times, Over over);
+    [[nodiscard]] bool matches(const Address& to, const NodeRequest&) const { return address() == to; }
+    void start(const NodeRequest& request, const AttemptTimeouts& times, DoneCallback over);
     /// The work that waits for it to come up.
-    [[nodiscard]] const NodeRequest& waiting() const { return *waiting_; }
+    [[nodiscard]] const NodeRequest& pendingRequest() const { return *pendingRequest_; }
     /// Another one that is up does it.
-    void passTo(NodeLink& other);
+    void transferRequest(HttpNodeConnection& other);
 
 private:
-    void cameUp() override;
-    void arrived(std::string_view& in) override;
-    void closes() override;
+    void onConnected() override;
+    void onData(std::string_view& in) override;
+    void onEof() override;
 
-    void hold(std::size_t bytes);
+    void accountBufferedBytes(std::size_t bytes);
     /// Passes on what has come of a long answer. False: this link may be gone.
-    [[nodiscard]] bool pass(bool whole);
+    [[nodiscard]] bool forwardToSink(bool whole);
 
-    std::optional<NodeRequest> waiting_;  // for the connection to come up
-    std::optional<AnswerReader> reader_;  // of the present request
-    AnswerSink* sink_ = nullptr;          // of it
-    bool passing_ = false;                // it has begun
-    std::size_t held_ = 0;                // of its answer, as counted
+    std::optional<NodeRequest> pendingRequest_;  // for the connection to come up
+    std::optional<HttpResponseParser> parser_;   // of the present request
+    ResponseSink* sink_ = nullptr;               // of it
+    bool streaming_ = false;                     // it has begun
+    std::size_t accountedBytes_ = 0;             // of its answer, as counted
 };
 
-using NodePool = LinkPool<NodeLink>;
+using HttpNodeConnectionPool = NodeConnectionPool<HttpNodeConnection>;
 
 }  // namespace martencove
--- a/src/http/text.h
+++ b/src/http/text.h
@@ -11,7 +11,7 @@
 
 /// A whole number of decimal digits and nothing else.
 template <typename Number>
-[[nodiscard]] bool readDigits(std::string_view text, Number& out) {
+[[nodiscard]] bool parseDecimal(std::string_view text, Number& out) {
     const auto [next, error] = std::from_chars(text.data(), text.data() + text.size(), out);
     return !text.empty() && text.find_first_not_of("0123456789") == text.npos && error == std::errc{} &&
            next == text.data() + text.size();
@@ -23,13 +23,13 @@
                std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
     });
 }
-[[nodiscard]] inline std::string_view trimmed(std::string_view text) {
+[[nodiscard]] inline std::string_view trimWhitespace(std::string_view text) {
     const std::size_t from = std::min(text.find_first_not_of(" \t"), text.size());
     const std::size_t to = text.find_last_not_of(" \t");
     return to == text.npos ? std::string_view{} : text.substr(from, to + 1 - from);
 }
 /// Whether they are the same but for the case of letters.
-[[nodiscard]] inline bool sameText(std::string_view a, std::string_view b) {
+[[nodiscard]] inline bool equalsIgnoreCase(std::string_view a, std::string_view b) {
     return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
--- a/src/limedrum/bids.cpp
+++ b/src/limedrum/bids.cpp
@@ -26,8 +26,8 @@
     }
 };
 
-constexpr double Bid::*kFigures[] = {&Bid::offered, &Bid::reserved, &Bid::weighed,
-                                     &Bid::served,  &Bid::pressed,  &Bid::hosts};
+constexpr double Bid::*kFigures[] = {&Bid::offeredUnits, &Bid::reservedUnits, &Bid::weightedUnits,
+                                     &Bid::servedUnits,  &Bid::overloadUnits, &Bid::bidderCount};
 
 }  // namespace
 
@@ -36,14 +36,14 @@
     return *this;
 }
 
-double Bid::most() const {
+double Bid::maxFigure() const {
     double most = 0;
     for (const auto figure : kFigures) most = std::max(most, this->*figure);
     return most;
 }
 
-std::map<int, std::map<CellId, Bid>> Gathered::takeSums(int hosts,
-                                                        const std::function<bool(const Bid&)>& toAll) {
+std::map<int, std::map<CellId, Bid>> GatheredBids::takeSums(int hosts,
+                                                            const std::function<bool(const Bid&)>& toAll) {
     std::map<int, std::map<CellId, Bid>> sums;
     for (const auto& [cell, bidders] : bids) {
         Bid sum;
@@ -56,9 +56,10 @@
     return sums;
 }
 
-std::vector<std::string> writeBids(const BidMessage& message) {
+std::vector<std::string> writeBidMessages(const BidMessage& message) {
     std::vector<std::string> texts;
-    const std::string head = std::string(message.sums ? kSums : kBids) + ' ' + std::to_string(message.round);
+    const std::string head =
+        std::string(message.isSums ? kSums : kBids) + ' ' + std::to_string(message.round);
     for (const auto& [cell, bid] : message.bids) {
         std::string entry = ' ' + std::to_string(cell);
         for (const auto figure : kFigures) entry += ':' + std::to_string(std::lround(bid.*figure * kParts));
@@ -68,10 +69,10 @@
     return texts;
 }
 
-std::optional<BidMessage> readBids(std::string_view text) {
+std::optional<BidMessage> readBidMessage(std::string_view text) {
     BidMessage message;
-    message.sums = text.starts_with(kSums);
-    if (!message.sums && !text.starts_with(kBids)) return std::nullopt;
+    message.isSums = text.starts_with(kSums);
+    if (!message.isSums && !text.starts_with(kBids)) return std::nullopt;
     Reader read{text.substr(kBids.size())};
     if (!read.take(message.round, ' ')) return std::nullopt;
     while (!read.rest.empty()) {
@@ -87,16 +88,17 @@
     return message;
 }
 
-std::string writeBudget(const BudgetMessage& m) {
+std::string writeBudgetMessage(const BudgetMessage& m) {
     std::string text = {kKinds[m.kind], kBids[1], ' ', m.id.first};
     const auto whole = [](double value) { return std::to_string(std::llround(value)); };
-    for (const std::string& part : {std::to_string(m.id.second), std::to_string(m.part), whole(m.figure),
-                                    whole(m.units * kParts), whole(std::floor(m.stampMs))})
+    for (const std::string& part :
+         {std::to_string(m.id.second), std::to_string(m.coordinatorIndex), whole(m.bootMsOrPlanNo),
+          whole(m.units * kParts), whole(std::floor(m.askerClockMs))})
         text += ' ' + part;
     return text;
 }
 
-std::optional<BudgetMessage> readBudget(std::string_view text) {
+std::optional<BudgetMessage> readBudgetMessage(std::string_view text) {
     BudgetMessage m;
     const std::size_t kind = text.empty() ? std::string_view::npos : kKinds.find(text[0]);
     if (kind == std::string_view::npos || text.size() < 4 || text[1] != kBids[1] || text[2] != ' ' ||
@@ -108,12 +110,12 @@
     std::uint64_t figure = 0;
     std::uint32_t parts = 0;
     std::uint64_t stamp = 0;
-    if (!read.take(m.id.second, ' ') || !read.take(m.part, ' ') || !read.take(figure, ' ') ||
+    if (!read.take(m.id.second, ' ') || !read.take(m.coordinatorIndex, ' ') || !read.take(figure, ' ') ||
         !read.take(parts, ' ') || !read.take(stamp, ' ') || !read.rest.empty())
         return std::nullopt;
-    m.figure = static_cast<double>(figure);
+    m.bootMsOrPlanNo = static_cast<double>(figure);
     m.units = parts / kParts;
-    m.stampMs = static_cast<double>(stamp);
+    m.askerClockMs = static_cast<double>(stamp);
     return m;
 }
 
--- a/src/limedrum/bids.h
+++ b/src/limedrum/bids.h
@@ -18,24 +18,24 @@
 
 /// One host's figures of a cell for the last round, or the sum of all bidders'.
 struct Bid {
-    double offered = 0;   ///< units asked
-    double reserved = 0;  ///< units asked inside the plans' reserves
-    double weighed = 0;   ///< units asked beyond, each times its plan's weight
-    double served = 0;    ///< units
-    double pressed = 0;   ///< of these, under pressure
-    double hosts = 0;     ///< bidders
+    double offeredUnits = 0;   ///< units asked
+    double reservedUnits = 0;  ///< units asked inside the plans' reserves
+    double weightedUnits = 0;  ///< units asked beyond, each times its plan's weight
+    double servedUnits = 0;    ///< units
+    double overloadUnits = 0;  ///< of these, under pressure
+    double bidderCount = 0;    ///< bidders
 
     Bid& operator+=(const Bid& other);
-    [[nodiscard]] double most() const;  ///< the largest figure
+    [[nodiscard]] double maxFigure() const;  ///< the largest figure
 };
 struct BidMessage {
-    bool sums = false;
+    bool isSums = false;
     std::uint64_t round = 0;
     std::map<CellId, Bid> bids;  ///< by cell
 };
 
 /// A round's bids, by cell and bidder, as the host that gathers them has heard them.
-struct Gathered {
+struct GatheredBids {
     std::map<CellId, std::map<int, Bid>> bids;
 
     /// What each host is told: the sums of the cells for which it bid and of those that `toAll` picks, as
@@ -50,19 +50,19 @@
     enum Kind { ask, grant };
     Kind kind = ask;
     BudgetId id;
-    int part = 0;        ///< which of the budget's keepers
-    double figure = 0;   ///< the node's start in ms, or the volume's plan
-    double units = 0;    ///< asked, or dealt: all of it or nothing
-    double stampMs = 0;  ///< the asker's clock, given back with the grant
+    int coordinatorIndex = 0;   ///< which of the budget's keepers
+    double bootMsOrPlanNo = 0;  ///< the node's start in ms, or the volume's plan
+    double units = 0;           ///< asked, or dealt: all of it or nothing
+    double askerClockMs = 0;    ///< the asker's clock, given back with the grant
 };
 
 /// "a3 n|v NUMBER PART FIGURE TENTHS STAMP"; grants with "g3".
-[[nodiscard]] std::string writeBudget(const BudgetMessage& message);
-[[nodiscard]] std::optional<BudgetMessage> readBudget(std::string_view text);
+[[nodiscard]] std::string writeBudgetMessage(const BudgetMessage& message);
+[[nodiscard]] std::optional<BudgetMessage> readBudgetMessage(std::string_view text);
 
 /// As many texts as it takes to stay within what one message may hold.
-[[nodiscard]] std::vector<std::string> writeBids(const BidMessage& message);
+[[nodiscard]] std::vector<std::string> writeBidMessages(const BidMessage& message);
 /// Nothing for a text that is not whole and exact.
-[[nodiscard]] std::optional<BidMessage> readBids(std::string_view text);
+[[nodiscard]] std::optional<BidMessage> readBidMessage(std::string_view text);
 
 }  // namespace limedrum
