--- a/src/limedrum/memory.cpp
+++ b/src/limedrum/memory.cpp
@@ -15,12 +15,14 @@
 constexpr std::size_t kMostName = 64;  // bytes of a volume's name
 
 // What passes on of each, in the order of the text. Times are those of the machine's clock, which both have.
-constexpr std::array kNodeFigures{&Node::unitMs, &Node::delayMs, &Node::rate};
-constexpr std::array kNodeTimes{&Node::signMs,    &Node::pressedUntilMs, &Node::toldPressedUntilMs,
-                                &Node::crowdedMs, &Node::silentSinceMs,  &Node::trickledMs};
-constexpr std::array kBidFigures{&Bid::offered, &Bid::reserved, &Bid::weighed,
-                                 &Bid::served,  &Bid::pressed,  &Bid::hosts};
-constexpr std::array kVolumeFigures{&Volume::own, &Volume::others, &Volume::now, &Volume::last};
+constexpr std::array kNodeFigures{&Node::usualMsPerUnit, &Node::smoothedDelayMs, &Node::unitsPerSecond};
+constexpr std::array kNodeTimes{&Node::lastOverloadSignMs,      &Node::localOverloadUntilMs,
+                                &Node::reportedOverloadUntilMs, &Node::lastSaturatedMs,
+                                &Node::silentSinceMs,           &Node::lastTrickleMs};
+constexpr std::array kBidFigures{&Bid::offeredUnits, &Bid::reservedUnits, &Bid::weightedUnits,
+                                 &Bid::servedUnits,  &Bid::overloadUnits, &Bid::bidderCount};
+constexpr std::array kVolumeFigures{&Volume::servedViaThisHost, &Volume::servedViaOtherHosts,
+                                    &Volume::offeredThisRound, &Volume::offeredLastRound};
 
 class Writer {
 public:
@@ -113,7 +115,7 @@
 };
 
 /// By buckets: a repeat counts from its bucket's end, a request from its start, so that none allows more.
-void writeWindow(Writer& out, std::string_view kind, const Window& window, bool atEnd) {
+void writeWindow(Writer& out, std::string_view kind, const SlidingWindow& window, bool atEnd) {
     std::map<double, double> buckets;
     for (const auto& [ms, units] : window.entries)
         buckets[(atEnd ? std::ceil(ms / kBucketMs) : std::floor(ms / kBucketMs)) * kBucketMs] += units;
@@ -125,8 +127,8 @@
 }
 
 /// Both are in the order of time: what is handed over is older than what has been counted here.
-void join(Window& to, const std::map<double, double>& from) {
-    Window both;
+void join(SlidingWindow& to, const std::map<double, double>& from) {
+    SlidingWindow both;
     for (const auto& [ms, units] : from) both.add(ms, units);
     for (const auto& [ms, units] : to.entries) both.add(ms, units);
     to = std::move(both);
@@ -137,8 +139,8 @@
     std::map<NodeId, Node> nodes;
     std::map<CellId, Cell> cells;
     std::map<std::string, Volume> volumes;
-    std::map<BudgetId, Ledger> shares;
-    std::map<std::pair<BudgetId, int>, Ledger> tills;
+    std::map<BudgetId, BudgetPart> shares;
+    std::map<std::pair<BudgetId, int>, BudgetPart> tills;
     std::map<double, double> taken, extras;
     double writtenMs = 0, fillMs = 0;
 };
@@ -155,11 +157,11 @@
 void readCell(Reader& in, Memory& to) {
     Cell c;
     c.id = static_cast<CellId>(in.whole());
-    c.own = in.bid();
-    c.sum = in.bid();
-    c.sumMs = in.figure();
-    c.crowded = in.whole() != 0;
-    for (double* figure : {&c.lastOffered, &c.offered, &c.spent}) *figure = in.figure();
+    c.ownBid = in.bid();
+    c.bidSum = in.bid();
+    c.bidSumMs = in.figure();
+    c.saturated = in.whole() != 0;
+    for (double* figure : {&c.offeredLastRound, &c.offeredThisRound, &c.tokensSpent}) *figure = in.figure();
     to.cells[c.id] = c;
 }
 
@@ -167,11 +169,12 @@
     const auto cell = to.cells.find(static_cast<CellId>(in.whole()));
     const std::string name = in.name();
     Demand d;
-    for (double* figure : {&d.now, &d.last, &d.fair}) *figure = in.figure();
+    for (double* figure : {&d.offeredThisRound, &d.offeredLastRound, &d.fairUnitsPerSecond})
+        *figure = in.figure();
     while (in.good && in.more()) {
-        Offer& offer = d.byWorth[in.figure()];
-        offer.now = in.figure();
-        offer.last = in.figure();
+        WorthDemand& offer = d.byWorth[in.figure()];
+        offer.offeredThisRound = in.figure();
+        offer.offeredLastRound = in.figure();
     }
     if (cell == to.cells.end())
         in.good = false;
@@ -179,16 +182,16 @@
         cell->second.volumes[name] = d;
 }
 
-void readLedger(Reader& in, Ledger& to) {
-    to.level = in.figure();
-    to.filledMs = in.figure();
+void readLedger(Reader& in, BudgetPart& to) {
+    to.bucketLevel = in.figure();
+    to.lastRefillMs = in.figure();
 }
 
 void readVolume(Reader& in, Memory& to) {
     Volume& v = to.volumes[in.name()];
-    v.plan = static_cast<int>(std::min<std::uint64_t>(in.whole(), 1'000'000));
-    v.hosts = static_cast<int>(std::clamp<std::uint64_t>(in.whole(), 1, 1'000'000));
-    v.seenMs = in.figure();
+    v.planNo = static_cast<int>(std::min<std::uint64_t>(in.whole(), 1'000'000));
+    v.hostCount = static_cast<int>(std::clamp<std::uint64_t>(in.whole(), 1, 1'000'000));
+    v.lastSeenMs = in.figure();
     for (const auto figure : kVolumeFigures) v.*figure = in.figure();
 }
 
@@ -228,8 +231,8 @@
 }
 
 void writeNodes(Writer& out, const Fleet& fleet) {
-    for (const Node* n : fleet.nodesInOrder()) {
-        if (n->unitMs <= 0 && n->rate <= 0 && n->silentSinceMs <= 0) continue;
+    for (const Node* n : fleet.nodesById()) {
+        if (n->usualMsPerUnit <= 0 && n->unitsPerSecond <= 0 && n->silentSinceMs <= 0) continue;
         out.line("node");
         out.whole(n->id);
         out.exact(n->bootMs);
@@ -239,23 +242,26 @@
 }
 
 void writeCells(Writer& out, const Fleet& fleet) {
-    for (const CellId id : fleet.live) {
+    for (const CellId id : fleet.cellsInRounds) {
         const Cell& c = fleet.cells.at(id);
         out.line("cell");
         out.whole(static_cast<std::uint64_t>(id));
-        out.bid(c.own);
-        out.bid(c.sum);
-        out.time(c.sumMs);
-        out.whole(c.crowded ? 1 : 0);
-        for (const double figure : {c.lastOffered, c.offered, c.spent}) out.number(figure);
+        out.bid(c.ownBid);
+        out.bid(c.bidSum);
+        out.time(c.bidSumMs);
+        out.whole(c.saturated ? 1 : 0);
+        for (const double figure : {c.offeredLastRound, c.offeredThisRound, c.tokensSpent})
+            out.number(figure);
         for (const auto& [name, d] : c.volumes) {
             if (name.empty() || name.size() > kMostName) continue;
             out.line("demand");
             out.whole(static_cast<std::uint64_t>(id));
             out.name(name);
-            for (const double figure : {d.now, d.last, d.fair}) out.number(figure);
+            for (const double figure : {d.offeredThisRound, d.offeredLastRound, d.fairUnitsPerSecond})
+                out.number(figure);
             for (const auto& [worth, offer] : d.byWorth)
-                for (const double figure : {worth, offer.now, offer.last}) out.number(figure);
+                for (const double figure : {worth, offer.offeredThisRound, offer.offeredLastRound})
+                    out.number(figure);
         }
     }
 }
@@ -263,52 +269,53 @@
 /// A round has ended since it was written: what was then of that round is of the last one.
 void endRound(Memory& memory) {
     for (auto& [id, c] : memory.cells) {
-        c.lastOffered = std::exchange(c.offered, 0);
-        c.spent = 0;
+        c.offeredLastRound = std::exchange(c.offeredThisRound, 0);
+        c.tokensSpent = 0;
         for (auto& [name, d] : c.volumes) {
-            d.last = std::exchange(d.now, 0);
-            for (auto& [worth, offer] : d.byWorth) offer.last = std::exchange(offer.now, 0);
+            d.offeredLastRound = std::exchange(d.offeredThisRound, 0);
+            for (auto& [worth, offer] : d.byWorth)
+                offer.offeredLastRound = std::exchange(offer.offeredThisRound, 0);
         }
     }
     for (auto& [name, v] : memory.volumes) v.endRound();
 }
 
 /// A level that goes over: from now on it fills there, and here from nothing.
-void giveUp(Writer& out, Ledger& ledger, double nowMs) {
-    out.number(std::max(0.0, std::exchange(ledger.level, 0)));
-    out.time(std::exchange(ledger.filledMs, nowMs));
+void giveUp(Writer& out, BudgetPart& ledger, double nowMs) {
+    out.number(std::max(0.0, std::exchange(ledger.bucketLevel, 0)));
+    out.time(std::exchange(ledger.lastRefillMs, nowMs));
 }
 /// One that came over. What was touched here before is less than a start's.
-void fill(Ledger& ledger, const Ledger& told, double nowMs) {
-    ledger.level += told.level;
-    ledger.filledMs = std::min(told.filledMs, nowMs);
+void fill(BudgetPart& ledger, const BudgetPart& told, double nowMs) {
+    ledger.bucketLevel += told.bucketLevel;
+    ledger.lastRefillMs = std::min(told.lastRefillMs, nowMs);
 }
 
 }  // namespace
 
-std::string writeMemory(double nowMs, const Learned& from) {
+std::string writeLearnedState(double nowMs, const LearnedState& from) {
     Writer out;
     out.line(kForm);
     out.time(nowMs);
-    out.time(std::exchange(from.fillMs, nowMs));
+    out.time(std::exchange(from.budgetFillStartMs, nowMs));
     writeNodes(out, from.fleet);
     writeCells(out, from.fleet);
     for (const auto& [name, v] : from.volumes) {
         if (name.empty() || name.size() > kMostName) continue;
         out.line("volume");
         out.name(name);
-        out.whole(static_cast<std::uint64_t>(v.plan));
-        out.whole(static_cast<std::uint64_t>(v.hosts));
-        out.time(v.seenMs);
+        out.whole(static_cast<std::uint64_t>(v.planNo));
+        out.whole(static_cast<std::uint64_t>(v.hostCount));
+        out.time(v.lastSeenMs);
         for (const auto figure : kVolumeFigures) out.number(v.*figure);
     }
-    for (auto& [id, share] : from.shares) {
+    for (auto& [id, share] : from.budgetShares) {
         if (id.first != 'v') continue;
         out.line("share");
         out.whole(id.second);
-        giveUp(out, share.own, nowMs);
+        giveUp(out, share.evenPart, nowMs);
     }
-    for (auto& [id, till] : from.tills) {
+    for (auto& [id, till] : from.coordinatorBudgets) {
         if (id.first != 'v') continue;
         for (auto& [part, ledger] : till.parts) {
             out.line("till");
@@ -317,20 +324,20 @@
             giveUp(out, ledger, nowMs);
         }
     }
-    writeWindow(out, "taken", from.taken, false);
-    writeWindow(out, "extra", from.extras, true);
+    writeWindow(out, "taken", from.recentRequests, false);
+    writeWindow(out, "extra", from.recentRetries, true);
     const int before = out.lines;
     out.line("end");
     out.whole(static_cast<std::uint64_t>(before));
     return std::move(out.text);
 }
 
-bool readMemory(std::string_view text, double nowMs, double roundStartMs, const Learned& to) {
+bool readLearnedState(std::string_view text, double nowMs, double roundStartMs, const LearnedState& to) {
     Reader in(text);
     Memory memory;
-    if (!readAll(in, memory) || std::abs(nowMs - memory.writtenMs) > kMemoryMs) return false;
+    if (!readAll(in, memory) || std::abs(nowMs - memory.writtenMs) > kLearnedStateMaxAgeMs) return false;
     if (memory.writtenMs < roundStartMs) endRound(memory);
-    const double lastMs = nowMs + kMemoryMs;  // no pressure holds for longer
+    const double lastMs = nowMs + kLearnedStateMaxAgeMs;  // no pressure holds for longer
     for (const auto& [id, told] : memory.nodes) {
         const auto at = to.fleet.nodes.find(id);
         if (at == to.fleet.nodes.end() || at->second.bootMs != told.bootMs) continue;
@@ -338,31 +345,33 @@
         for (const auto time : kNodeTimes) at->second.*time = std::min(told.*time, lastMs);
     }
     // The next process may have started with fewer plans.
-    std::erase_if(memory.volumes,
-                  [&](const auto& v) { return v.second.plan >= static_cast<int>(to.settings.plans.size()); });
+    std::erase_if(memory.volumes, [&](const auto& v) {
+        return v.second.planNo >= static_cast<int>(to.settings.plans.size());
+    });
     for (auto& [id, told] : memory.cells) {
         const auto at = to.fleet.cells.find(id);
         if (at == to.fleet.cells.end() || at->second.holders.empty()) continue;
-        Cell& c = to.fleet.touch(id);
-        c.own = told.own;
-        c.sum = told.sum;
-        c.sumMs = std::min(told.sumMs, nowMs);
-        c.crowded = told.crowded;
-        c.lastOffered = told.lastOffered;
-        c.offered += told.offered;
-        c.spent += told.spent;
+        Cell& c = to.fleet.cellForUpdate(id);
+        c.ownBid = told.ownBid;
+        c.bidSum = told.bidSum;
+        c.bidSumMs = std::min(told.bidSumMs, nowMs);
+        c.saturated = told.saturated;
+        c.offeredLastRound = told.offeredLastRound;
+        c.offeredThisRound += told.offeredThisRound;
+        c.tokensSpent += told.tokensSpent;
         for (auto& [name, demand] : told.volumes)
             if (memory.volumes.contains(name)) c.volumes.try_emplace(name, std::move(demand));
     }
     for (auto& [name, told] : memory.volumes) {
-        told.seenMs = std::min(told.seenMs, nowMs);
+        told.lastSeenMs = std::min(told.lastSeenMs, nowMs);
         to.volumes.try_emplace(name, told);
     }
-    for (const auto& [id, told] : memory.shares) fill(to.shares[id].own, told, nowMs);
-    for (const auto& [id, told] : memory.tills) fill(to.tills[id.first].parts[id.second], told, nowMs);
-    to.fillMs = std::min(memory.fillMs, nowMs);
-    join(to.taken, memory.taken);
-    join(to.extras, memory.extras);
+    for (const auto& [id, told] : memory.shares) fill(to.budgetShares[id].evenPart, told, nowMs);
+    for (const auto& [id, told] : memory.tills)
+        fill(to.coordinatorBudgets[id.first].parts[id.second], told, nowMs);
+    to.budgetFillStartMs = std::min(memory.fillMs, nowMs);
+    join(to.recentRequests, memory.taken);
+    join(to.recentRetries, memory.extras);
     return true;
 }
 
--- a/src/limedrum/memory.h
+++ b/src/limedrum/memory.h
@@ -19,26 +19,27 @@
 namespace limedrum {
 
 /// Where a host keeps it.
-struct Learned {
+struct LearnedState {
     const Settings& settings;
     Fleet& fleet;
     std::unordered_map<std::string, Volume>& volumes;
-    std::map<BudgetId, Share>& shares;
-    std::map<BudgetId, Till>& tills;
-    Window& taken;
-    Window& extras;
-    double& fillMs;  ///< since when parts of limits that nobody has touched fill
+    std::map<BudgetId, BudgetShare>& budgetShares;
+    std::map<BudgetId, CoordinatorBudget>& coordinatorBudgets;
+    SlidingWindow& recentRequests;
+    SlidingWindow& recentRetries;
+    double& budgetFillStartMs;  ///< since when parts of limits that nobody has touched fill
 };
 
 /// The text, which another process may read within `kMemoryMs`. The levels of limits are no longer here.
-[[nodiscard]] std::string writeMemory(double nowMs, const Learned& from);
+[[nodiscard]] std::string writeLearnedState(double nowMs, const LearnedState& from);
 
 /// Takes it over whole, or nothing where it is not: torn, of another form, stale, or absurd. What it says of
 /// nodes that are not known here, or have started anew, is passed over. Whether it was taken.
 /// `roundStartMs`: of the present round, in which what was asked since then counts.
-[[nodiscard]] bool readMemory(std::string_view text, double nowMs, double roundStartMs, const Learned& to);
+[[nodiscard]] bool readLearnedState(std::string_view text, double nowMs, double roundStartMs,
+                                    const LearnedState& to);
 
-inline constexpr double kMemoryMs =
+inline constexpr double kLearnedStateMaxAgeMs =
     5000;  // a bid's sum stands for three rounds of 2 s: older, little of it holds
 
 }  // namespace limedrum
--- a/src/limedrum/scheduler.cpp
+++ b/src/limedrum/scheduler.cpp
@@ -6,18 +6,19 @@
 
 Scheduler::Impl::Impl(Settings settings, std::uint64_t seed, double nowMs)
     : random_(seed), now_(finiteOr(nowMs, 0)) {
-    retune(std::move(settings));
-    if (set_.listOnRequest) askMs_ = now_;
+    updateSettings(std::move(settings));
+    if (settings_.nodeListOnRequest) subscribeDueMs_ = now_;
 }
 
-void Scheduler::Impl::retune(Settings settings) {
-    set_ = checked(std::move(settings));
-    aimMs_ = kNever;
-    for (const ClassSettings& c : set_.classes)
-        if (!c.dropped) aimMs_ = std::min(aimMs_, c.aimMs > 0 ? c.aimMs : c.deadlineMs);
-    longestMs_ = set_.rules.fallMs;
-    for (std::size_t i = 0; i < set_.plans.size(); ++i)
-        if (const auto b = limitBudget(static_cast<int>(i))) longestMs_ = std::max(longestMs_, b->windowMs);
+void Scheduler::Impl::updateSettings(Settings settings) {
+    settings_ = validatedSettings(std::move(settings));
+    tightestAimMs_ = kNever;
+    for (const ClassSettings& c : settings_.classes)
+        if (!c.retired) tightestAimMs_ = std::min(tightestAimMs_, c.aimMs > 0 ? c.aimMs : c.deadlineMs);
+    longestBudgetWindowMs_ = settings_.rules.fallMs;
+    for (std::size_t i = 0; i < settings_.plans.size(); ++i)
+        if (const auto b = limitBudget(static_cast<int>(i)))
+            longestBudgetWindowMs_ = std::max(longestBudgetWindowMs_, b->windowMs);
 }
 
 std::vector<Action> Scheduler::Impl::handle(double nowMs, std::span<const Event> events) {
@@ -25,89 +26,91 @@
     actions_.clear();
     for (const Event& event : events) std::visit([this](const auto& e) { on(e); }, event);
     sweep();
-    arm();
+    armTimer();
     return std::move(actions_);
 }
 
-std::string Scheduler::Impl::handOver(double nowMs) { return writeMemory(nowMs, learned()); }
+std::string Scheduler::Impl::exportState(double nowMs) { return writeLearnedState(nowMs, learnedState()); }
 
-bool Scheduler::Impl::takeOver(double nowMs, const std::string& text) {
-    return readMemory(text, nowMs, roundStartMs_, learned());
+bool Scheduler::Impl::importState(double nowMs, const std::string& text) {
+    return readLearnedState(text, nowMs, roundStartMs_, learnedState());
 }
 
-std::vector<NodeView> Scheduler::Impl::view() const {
-    std::vector<NodeView> out;
-    for (const Node* n : fleet_.nodesInOrder()) {
+std::vector<NodeStatus> Scheduler::Impl::nodeStatuses() const {
+    std::vector<NodeStatus> out;
+    for (const Node* n : fleet_.nodesById()) {
         if (n->state == NodeState::gone) continue;
-        const bool chosen = nodeOf(fleet_.cells.at(n->cell)) == n;
-        out.push_back({n->id, n->shard, n->state, chosen, n->silentSinceMs > 0, n->rate});
+        const bool chosen = servingNode(fleet_.cells.at(n->cell)) == n;
+        out.push_back({n->id, n->shard, n->state, chosen, n->silentSinceMs > 0, n->unitsPerSecond});
     }
     return out;
 }
 
 std::size_t Scheduler::Impl::tableSize() const {
-    return requests_.size() + flights_.size() + fleet_.nodes.size() + volumes_.size() + lanes_.size() +
-           taken_.entries.size() + extras_.entries.size() + expiries_.size() + fleet_.cells.size() +
-           gathered_.bids.size() + shares_.size() + tills_.size();
+    return requests_.size() + attempts_.size() + fleet_.nodes.size() + volumes_.size() + keyQueues_.size() +
+           recentRequests_.entries.size() + recentRetries_.entries.size() + requestChecks_.size() +
+           fleet_.cells.size() + gatheredBids_.bids.size() + budgetShares_.size() +
+           coordinatorBudgets_.size();
 }
 
-double Scheduler::Impl::nextLookMs(const Request& r) const {
+double Scheduler::Impl::nextCheckMs(const Request& r) const {
     const double untilMs = attemptUntilMs(r);
-    return r.lookMs < untilMs ? std::min(r.told.expiresMs, untilMs) : r.told.expiresMs;
+    return r.nextCheckMs < untilMs ? std::min(r.spec.expiresMs, untilMs) : r.spec.expiresMs;
 }
 
-void Scheduler::Impl::lookAt(Request& r, double ms) {
-    expiries_.erase({r.lookMs, r.told.id});
-    expiries_.emplace(r.lookMs = ms, r.told.id);
+void Scheduler::Impl::scheduleCheck(Request& r, double ms) {
+    requestChecks_.erase({r.nextCheckMs, r.spec.id});
+    requestChecks_.emplace(r.nextCheckMs = ms, r.spec.id);
 }
 
 void Scheduler::Impl::sweep() {
-    while (!expiries_.empty() && expiries_.begin()->first - set_.tickMs <= now_) {
-        Request& r = requests_.at(expiries_.begin()->second);
+    while (!requestChecks_.empty() && requestChecks_.begin()->first - settings_.tickMs <= now_) {
+        Request& r = requests_.at(requestChecks_.begin()->second);
         // One that waits for its key's turn may still get it, but for a shutdown.
-        const bool mayWait = r.attempts > 0 || ordered(r);
-        const bool mayBegin = r.out > 0 || r.lookMs < attemptUntilMs(r);
-        const bool over = !mayWait || !mayBegin || r.lookMs >= r.told.expiresMs;
-        over ? finish(RequestId(r.told.id), expired) : lookAt(r, nextLookMs(r));
+        const bool mayWait = r.attemptsStarted > 0 || isOrdered(r);
+        const bool mayBegin = r.attemptsInFlight > 0 || r.nextCheckMs < attemptUntilMs(r);
+        const bool over = !mayWait || !mayBegin || r.nextCheckMs >= r.spec.expiresMs;
+        over ? refuseOrFail(RequestId(r.spec.id), expired) : scheduleCheck(r, nextCheckMs(r));
     }
-    if (set_.listOnRequest && now_ >= askMs_) {
-        actions_.push_back(Subscribe{});
-        askMs_ = now_ + kAskLostMs;
+    if (settings_.nodeListOnRequest && now_ >= subscribeDueMs_) {
+        actions_.push_back(SubscribeToNodeList{});
+        subscribeDueMs_ = now_ + kSubscribeTimeoutMs;
     }
     if (now_ >= roundStartMs_ + kRoundMs) endRound();
-    if (now_ >= tellSumsMs_) tellSums();
-    if (now_ - sweptMs_ < kSweepMs) return;
-    giveUpLost();
-    sweptMs_ = now_;
-    pumpAll();
+    if (now_ >= bidSumsDueMs_) sendBidSums();
+    if (now_ - lastSweepMs_ < kSweepIntervalMs) return;
+    detectLostAttempts();
+    lastSweepMs_ = now_;
+    processActiveCells();
 }
 
-void Scheduler::Impl::pumpAll() {
-    for (const CellId cell : std::vector<CellId>(fleet_.active.begin(), fleet_.active.end())) {
-        Cell& c = fleet_.touch(cell);
-        Node* n = nodeOf(c);
+void Scheduler::Impl::processActiveCells() {
+    for (const CellId cell : std::vector<CellId>(fleet_.cellsWithWork.begin(), fleet_.cellsWithWork.end())) {
+        Cell& c = fleet_.cellForUpdate(cell);
+        Node* n = servingNode(c);
         if (n != nullptr) {
-            if (feltPressed(*n)) n->pressedMs += std::min(now_ - n->sweptMs, 2 * kSweepMs);
-            n->sweptMs = now_;
-            judgeSilence(*n);
-            shed(c, *n);
-            pump(cell);
+            if (observesOverload(*n))
+                n->overloadMsThisRound += std::min(now_ - n->lastSweepMs, 2 * kSweepIntervalMs);
+            n->lastSweepMs = now_;
+            detectSilence(*n);
+            shedQueue(c, *n);
+            sendQueued(cell);
         } else {
-            if (cell < 0) leave(c);
+            if (cell < 0) rerouteQueue(c);
             while (!c.queue.empty() && c.queue.begin()->first <= now_)
-                finish(RequestId(c.queue.begin()->second), silentNode);
+                refuseOrFail(RequestId(c.queue.begin()->second), silentNode);
         }
-        if (c.queue.empty() && (n == nullptr || n->outCount == 0)) fleet_.active.erase(cell);
+        if (c.queue.empty() && (n == nullptr || n->attemptsInFlight == 0)) fleet_.cellsWithWork.erase(cell);
     }
 }
 
-void Scheduler::Impl::arm() {
+void Scheduler::Impl::armTimer() {
     double next = roundStartMs_ + kRoundMs;
-    if (!expiries_.empty()) next = std::min(next, expiries_.begin()->first - set_.tickMs);
-    if (!requests_.empty() || !flights_.empty()) next = std::min(next, sweptMs_ + kSweepMs);
-    next = std::max(std::min({next, askMs_, tellSumsMs_}), now_ + set_.tickMs / 2);
-    if (armedMs_ > now_ && armedMs_ <= next) return;
-    armedMs_ = next;
+    if (!requestChecks_.empty()) next = std::min(next, requestChecks_.begin()->first - settings_.tickMs);
+    if (!requests_.empty() || !attempts_.empty()) next = std::min(next, lastSweepMs_ + kSweepIntervalMs);
+    next = std::max(std::min({next, subscribeDueMs_, bidSumsDueMs_}), now_ + settings_.tickMs / 2);
+    if (timerDueMs_ > now_ && timerDueMs_ <= next) return;
+    timerDueMs_ = next;
     actions_.push_back(SetTimer{next - now_, 1});
 }
 
@@ -119,10 +122,10 @@
 std::vector<Action> Scheduler::handle(double nowMs, std::span<const Event> events) {
     return impl_->handle(nowMs, events);
 }
-void Scheduler::retune(Settings settings) { impl_->retune(std::move(settings)); }
-std::vector<NodeView> Scheduler::view() const { return impl_->view(); }
-std::string Scheduler::handOver(double nowMs) { return impl_->handOver(nowMs); }
-bool Scheduler::takeOver(double nowMs, const std::string& text) { return impl_->takeOver(nowMs, text); }
+void Scheduler::updateSettings(Settings settings) { impl_->updateSettings(std::move(settings)); }
+std::vector<NodeStatus> Scheduler::nodeStatuses() const { return impl_->nodeStatuses(); }
+std::string Scheduler::exportState(double nowMs) { return impl_->exportState(nowMs); }
+bool Scheduler::importState(double nowMs, const std::string& text) { return impl_->importState(nowMs, text); }
 std::size_t Scheduler::tableSize() const { return impl_->tableSize(); }
 
 }  // namespace limedrum
--- a/src/limedrum/settings.cpp
+++ b/src/limedrum/settings.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Settings checked(Settings s) {
+Settings validatedSettings(Settings s) {
     require(!s.classes.empty(), "classes");
     for (const ClassSettings& c : s.classes) {
         require(std::isfinite(c.deadlineMs) && c.deadlineMs > 0, "classes.deadlineMs");
--- a/src/limedrum/settings.h
+++ b/src/limedrum/settings.h
@@ -7,6 +7,6 @@
 
 /// The settings with what may be left out filled in. Throws std::invalid_argument, naming the field, for what
 /// no deployment could mean.
-[[nodiscard]] Settings checked(Settings settings);
+[[nodiscard]] Settings validatedSettings(Settings settings);
 
 }  // namespace limedrum
--- a/src/limedrum/spread.h
+++ b/src/limedrum/spread.h
@@ -11,12 +11,12 @@
 namespace limedrum {
 
 /// A weighted holder's own cell. No shard has such a number, and -1 stays free for none.
-inline CellId laneOf(NodeId node) { return -2 - static_cast<CellId>(node & 0x3fffffffffffffffULL); }
+inline CellId holderCellId(NodeId node) { return -2 - static_cast<CellId>(node & 0x3fffffffffffffffULL); }
 
 /// A holder's claim on a piece, from 0 up; the largest has it. Of many pieces each holder has its weight's
 /// part.
-inline double claimOf(std::uint64_t piece, NodeId holder, double weight) {
-    return -weight / std::log(Random(piece ^ (holder * 0x9e3779b97f4a7c15ULL)).draw());
+inline double rendezvousScore(std::uint64_t piece, NodeId holder, double weight) {
+    return -weight / std::log(Random(piece ^ (holder * 0x9e3779b97f4a7c15ULL)).uniform());
 }
 
 }  // namespace limedrum
--- a/src/limedrum/token_allocation.cpp
+++ b/src/limedrum/token_allocation.cpp
@@ -3,67 +3,76 @@
 
 namespace limedrum {
 
-double Scheduler::Impl::slice(const Cell& c, const Node& n) const {
-    const double pool = (c.crowded && hearsSeldom(n) ? kDrainLoad : kTargetLoad) * n.rate * kRoundMs / 1000;
-    const double few = kFewRequests * set_.meanUnits;
-    const bool told = now_ - c.sumMs <= kBidRounds * kRoundMs;
-    const double least = told ? std::min(few, pool / std::max(c.sum.hosts, 1.0)) : few;
-    if (!told || c.own.reserved + c.own.weighed <= 0) return std::max(pool / set_.hosts, least);
+double Scheduler::Impl::tokenShare(const Cell& c, const Node& n) const {
+    const double pool =
+        (c.saturated && lacksRecentAnswers(n) ? kBacklogDrainUtilization : kTargetUtilization) *
+        n.unitsPerSecond * kRoundMs / 1000;
+    const double few = kMinRequestsPerRound * settings_.meanUnits;
+    const bool told = now_ - c.bidSumMs <= kBidSumMaxAgeRounds * kRoundMs;
+    const double least = told ? std::min(few, pool / std::max(c.bidSum.bidderCount, 1.0)) : few;
+    if (!told || c.ownBid.reservedUnits + c.ownBid.weightedUnits <= 0)
+        return std::max(pool / settings_.hosts, least);
     const auto part = [](double own, double all) { return all > 0 ? std::min(1.0, own / all) : 0.0; };
-    const double units = std::min(pool, c.sum.reserved) * part(c.own.reserved, c.sum.reserved) +
-                         std::max(0.0, pool - c.sum.reserved) * part(c.own.weighed, c.sum.weighed);
+    const double units =
+        std::min(pool, c.bidSum.reservedUnits) * part(c.ownBid.reservedUnits, c.bidSum.reservedUnits) +
+        std::max(0.0, pool - c.bidSum.reservedUnits) * part(c.ownBid.weightedUnits, c.bidSum.weightedUnits);
     return std::max(units, least);
 }
 
-double Scheduler::Impl::bound(const Cell& c, const Node& n) const {
-    const double units = slice(c, n) * kBoundAimPart * aimMs_ / kRoundMs;
-    return std::max(units, fewOut(n) * set_.meanUnits);
+double Scheduler::Impl::maxInFlightUnits(const Cell& c, const Node& n) const {
+    const double units = tokenShare(c, n) * kInFlightAimFraction * tightestAimMs_ / kRoundMs;
+    return std::max(units, minInFlight(n) * settings_.meanUnits);
 }
 
-void Scheduler::Impl::press(Node& n) {
-    n.signMs = now_;
-    n.pressedUntilMs = now_ + kRoundMs;
+void Scheduler::Impl::markOverloaded(Node& n) {
+    n.lastOverloadSignMs = now_;
+    n.localOverloadUntilMs = now_ + kRoundMs;
 }
 
-double Scheduler::Impl::reservedOf(const Volume& v, double asked, double everywhere, double seconds) const {
-    const double ownPart = (v.own + kPriorUnits / v.hosts) / (v.own + v.others + kPriorUnits);
-    return std::min(asked, planOf(v.plan).reserve * seconds * ownPart * asked / std::max(everywhere, asked));
+double Scheduler::Impl::reservedUnits(const Volume& v, double asked, double everywhere,
+                                      double seconds) const {
+    const double ownPart = (v.servedViaThisHost + kEvenSplitPriorUnits / v.hostCount) /
+                           (v.servedViaThisHost + v.servedViaOtherHosts + kEvenSplitPriorUnits);
+    return std::min(asked,
+                    planOf(v.planNo).reserve * seconds * ownPart * asked / std::max(everywhere, asked));
 }
 
-void Scheduler::Impl::workOutChances(Cell& c, const Node& n) {
-    if (now_ - c.chancesMs < kRefreshMs) return;
-    c.chancesMs = now_;
-    const double restS = std::max(roundStartMs_ + kRoundMs - now_, kRefreshMs) / 1000;
-    double budget = std::max(slice(c, n) - c.spent, 0.0) / restS;
-    std::vector<Claim> claims;
+void Scheduler::Impl::updateAdmissionProbabilities(Cell& c, const Node& n) {
+    if (now_ - c.probabilitiesUpdatedMs < kAdmissionRefreshMs) return;
+    c.probabilitiesUpdatedMs = now_;
+    const double restS = std::max(roundStartMs_ + kRoundMs - now_, kAdmissionRefreshMs) / 1000;
+    double budget = std::max(tokenShare(c, n) - c.tokensSpent, 0.0) / restS;
+    std::vector<VolumeClaim> claims;
     double reserved = 0;
     for (auto& [name, d] : c.volumes) {
-        const double asked = expectedRate(d.now, d.last);
+        const double asked = expectedRate(d.offeredThisRound, d.offeredLastRound);
         const auto v = volumes_.find(name);
         if (asked <= 0 || v == volumes_.end()) continue;
-        d.fair = reservedOf(v->second, asked, expectedRate(v->second.now, v->second.last), 1);
-        reserved += d.fair;
-        claims.push_back({&d, asked, planOf(v->second.plan).weight});
+        d.fairUnitsPerSecond = reservedUnits(
+            v->second, asked, expectedRate(v->second.offeredThisRound, v->second.offeredLastRound), 1);
+        reserved += d.fairUnitsPerSecond;
+        claims.push_back({&d, asked, planOf(v->second.planNo).weight});
     }
-    dealByWeight(claims, budget, reserved);
-    for (const Claim& k : claims) {
-        double left = k.demand->fair;
+    distributeByWeight(claims, budget, reserved);
+    for (const VolumeClaim& k : claims) {
+        double left = k.demand->fairUnitsPerSecond;
         for (auto& [worth, offer] : k.demand->byWorth) {
-            const double asked = expectedRate(offer.now, offer.last);
-            offer.chance = asked > 0 ? std::min(1.0, left / asked) : 1;
+            const double asked = expectedRate(offer.offeredThisRound, offer.offeredLastRound);
+            offer.admitProbability = asked > 0 ? std::min(1.0, left / asked) : 1;
             left -= std::min(left, asked);
         }
     }
 }
 
-bool Scheduler::Impl::thinned(Cell& c, Node& n, const Request& r) {
-    workOutChances(c, n);
-    if (pressed(n) && n.rate <= 0) n.rate = believedRate(n);
-    if (!pressed(n) || n.rate <= 0) return false;
+bool Scheduler::Impl::shouldThin(Cell& c, Node& n, const Request& r) {
+    updateAdmissionProbabilities(c, n);
+    if (isOverloaded(n) && n.unitsPerSecond <= 0) n.unitsPerSecond = estimateRate(n);
+    if (!isOverloaded(n) || n.unitsPerSecond <= 0) return false;
     // A repeat past its aim earns least of all: it goes only where all else is expected to fit.
-    const double rest = expectedRate(c.offered, c.lastOffered) * (roundStartMs_ + kRoundMs - now_) / 1000;
-    if (r.lateTry) return slice(c, n) - c.spent < rest;
-    return random_.draw() >= c.volumes[r.told.volume].byWorth[classOf(r).worth].chance;
+    const double rest =
+        expectedRate(c.offeredThisRound, c.offeredLastRound) * (roundStartMs_ + kRoundMs - now_) / 1000;
+    if (r.lateClientRetry) return tokenShare(c, n) - c.tokensSpent < rest;
+    return random_.uniform() >= c.volumes[r.spec.volume].byWorth[classOf(r).worth].admitProbability;
 }
 
 }  // namespace limedrum
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -18,10 +18,10 @@
 
 using namespace martencove;
 
-Extras readExtras(const std::string& file, Config& config) {
+OperatorSections readExtras(const std::string& file, Config& config) {
 #ifdef MARTENCOVE_OPERATOR
     if (file.empty()) return {};
-    Extras extras = readOperator(file, config.site, config.limits);
+    OperatorSections extras = readOperatorConfig(file, config.settings, config.limits);
     // A section that this build cannot serve is no section to pass over.
 #ifndef MARTENCOVE_ETCD
     if (extras.etcd) throw ConfigError(file + ": etcd: not in this build (CMake option MARTENCOVE_ETCD)");
@@ -37,23 +37,23 @@
 #endif
 }
 
-int serve(const std::string& file, LogForm form) {
+int serve(const std::string& file, LogFormat form) {
     std::signal(SIGPIPE, SIG_IGN);
     std::signal(SIGHUP, SIG_IGN);  // until there is a configuration to read anew
     std::signal(SIGTERM, [](int) { std::_Exit(EXIT_SUCCESS); });  // until a request may have been taken
     Config config = readConfig();
-    Extras extras = readExtras(file, config);
+    OperatorSections extras = readExtras(file, config);
     Program(std::move(config), std::move(extras), form).run();
     return 0;
 }
 
 int check(const std::string& file) {
     Config config = readConfig();
-    const Extras extras = readExtras(file, config);
+    const OperatorSections extras = readExtras(file, config);
 #ifdef MARTENCOVE_OPERATOR
-    if (extras.nodes) {
-        const int code = cli::checkNodes(extras.nodes->paths);
-        if (code != cli::kGood) return code;
+    if (extras.nodeFiles) {
+        const int code = cli::checkNodes(extras.nodeFiles->paths);
+        if (code != cli::kExitOk) return code;
     }
 #else
     (void)extras;
@@ -78,8 +78,8 @@
         to.add_option("--operator", file, "the operator's file (protobuf text format)")->type_name("FILE");
     };
     addOperator(app);
-    LogForm form = LogForm::text;
-    const std::map<std::string, LogForm> forms{{"text", LogForm::text}, {"json", LogForm::json}};
+    LogFormat form = LogFormat::text;
+    const std::map<std::string, LogFormat> forms{{"text", LogFormat::text}, {"json", LogFormat::json}};
     const auto addLog = [&](CLI::App& to) {
         to.add_option("--log", form, "form of the log's lines")
             ->type_name("text|json")
--- a/src/membership/checks.cpp
+++ b/src/membership/checks.cpp
@@ -14,17 +14,19 @@
 std::string quoted(const std::string& text) { return '"' + text + '"'; }
 
 /// What one file alone shows of being whole.
-void checkWhole(const Draft& d, Problems& problems) {
-    for (const Problem& problem : d.problems) problems.add(problem.at, problem.reason, problem.severity);
+void checkWhole(const ParsedNodeFile& d, ProblemCollector& problems) {
+    for (const Problem& problem : d.problems)
+        problems.add(problem.location, problem.reason, problem.severity);
     if (!d.problems.empty()) return;
     const auto incomplete = [&](const std::string& why) {
         problems.add({d.file, 0, 0}, why, Severity::incomplete);
     };
     if (d.version == 0) problems.add({d.file, 0, 0}, "version: missing or 0, they count from 1");
-    if (d.version != d.endVersion)
-        incomplete("begins as version " + number(d.version) + " and ends as version " + number(d.endVersion));
-    if (d.count != d.members.size())
-        incomplete("count says " + number(d.count) + " nodes, there are " + number(d.members.size()));
+    if (d.version != d.trailerVersion)
+        incomplete("begins as version " + number(d.version) + " and ends as version " +
+                   number(d.trailerVersion));
+    if (d.declaredCount != d.members.size())
+        incomplete("count says " + number(d.declaredCount) + " nodes, there are " + number(d.members.size()));
 }
 
 bool goodName(const std::string& name) {
@@ -47,10 +49,10 @@
 
 /// An entry and the file that it stands in.
 struct Entry {
-    const Draft* draft = nullptr;
-    const DraftMember* told = nullptr;
+    const ParsedNodeFile* draft = nullptr;
+    const ParsedMember* told = nullptr;
 
-    [[nodiscard]] Place at() const { return {draft->file, told->line, told->column}; }
+    [[nodiscard]] SourceLocation at() const { return {draft->file, told->line, told->column}; }
     [[nodiscard]] std::string text() const {
         return told->line > 0 ? draft->file + ':' + std::to_string(told->line) : draft->file;
     }
@@ -63,16 +65,17 @@
     Entry first;
 };
 
-void checkWeights(const std::map<int, Weights>& shards, const Rules& rules, Problems& problems) {
+void checkWeights(const std::map<int, Weights>& shards, const MembershipRules& rules,
+                  ProblemCollector& problems) {
     for (const auto& [shard, w] : shards) {
         const std::string name = "shard " + std::to_string(shard);
         if (w.most <= 0)
             problems.add(w.first.at(), "weight: all ready nodes of " + name + " have weight 0");
-        else if (w.most > w.least * rules.weightRatio)
+        else if (w.most > w.least * rules.maxWeightRatio)
             problems.add(w.first.at(), "weight: in " + name + " the largest is " +
                                            std::to_string(std::llround(w.most / w.least)) +
                                            " times the smallest, at most " +
-                                           std::to_string(std::llround(rules.weightRatio)) + " are taken");
+                                           std::to_string(std::llround(rules.maxWeightRatio)) + " are taken");
     }
 }
 
@@ -83,17 +86,17 @@
     double fleetPart = 0;
     bool other = false;
 };
-Allowed allowed(const std::vector<const Draft*>& parts, std::uint64_t from) {
+Allowed allowed(const std::vector<const ParsedNodeFile*>& parts, std::uint64_t from) {
     Allowed out;
-    for (const Draft* d : parts) {
-        for (const Permit& permit : d->permits) {
+    for (const ParsedNodeFile* d : parts) {
+        for (const RemovalPermit& permit : d->permits) {
             if (permit.fromVersion != from) {
                 out.other = true;
                 continue;
             }
             out.racks.insert(permit.racks.begin(), permit.racks.end());
             out.shards.insert(permit.shards.begin(), permit.shards.end());
-            out.fleetPart = std::max(out.fleetPart, permit.fleetPart);
+            out.fleetPart = std::max(out.fleetPart, permit.maxFleetFraction);
         }
     }
     return out;
@@ -101,42 +104,47 @@
 
 }  // namespace
 
-void Problems::add(Place at, std::string reason, Severity severity) {
-    if (found_.size() >= most_) return void(++more_);
-    found_.emplace_back(std::move(at), std::move(reason), severity);
+void ProblemCollector::add(SourceLocation at, std::string reason, Severity severity) {
+    if (problems_.size() >= maxProblems_) return void(++omittedCount_);
+    problems_.emplace_back(std::move(at), std::move(reason), severity);
 }
 
-std::vector<Problem> Problems::take() {
-    if (more_ > 0)
-        found_.emplace_back(Place{}, std::to_string(more_) + " more problems", found_.back().severity);
-    return std::move(found_);
+std::vector<Problem> ProblemCollector::take() {
+    if (omittedCount_ > 0)
+        problems_.emplace_back(SourceLocation{}, std::to_string(omittedCount_) + " more problems",
+                               problems_.back().severity);
+    return std::move(problems_);
 }
 
-std::vector<const Draft*> newest(const std::vector<Draft>& drafts, Problems& problems) {
-    for (const Draft& d : drafts) checkWhole(d, problems);
+std::vector<const ParsedNodeFile*> selectNewestVersion(const std::vector<ParsedNodeFile>& drafts,
+                                                       ProblemCollector& problems) {
+    for (const ParsedNodeFile& d : drafts) checkWhole(d, problems);
     if (!problems.empty()) return {};
     if (drafts.empty()) {
         problems.add({}, "no files of nodes are there", Severity::incomplete);
         return {};
     }
-    const auto byVersion = [](const Draft& a, const Draft& b) { return a.version < b.version; };
-    const Draft& head = *std::max_element(drafts.begin(), drafts.end(), byVersion);
-    std::map<std::string, const Draft*> found;
-    const std::set<std::string> wanted(head.parts.begin(), head.parts.end());
-    if (wanted.size() != head.parts.size()) problems.add({head.file, 0, 0}, "parts: one is named twice");
-    if (wanted.empty() != head.part.empty() || (!wanted.empty() && !wanted.contains(head.part)))
-        problems.add({head.file, 0, 0}, "part: " + quoted(head.part) + " is not among the version's parts");
-    for (const Draft& d : drafts) {
+    const auto byVersion = [](const ParsedNodeFile& a, const ParsedNodeFile& b) {
+        return a.version < b.version;
+    };
+    const ParsedNodeFile& head = *std::max_element(drafts.begin(), drafts.end(), byVersion);
+    std::map<std::string, const ParsedNodeFile*> found;
+    const std::set<std::string> wanted(head.partNames.begin(), head.partNames.end());
+    if (wanted.size() != head.partNames.size()) problems.add({head.file, 0, 0}, "parts: one is named twice");
+    if (wanted.empty() != head.partName.empty() || (!wanted.empty() && !wanted.contains(head.partName)))
+        problems.add({head.file, 0, 0},
+                     "part: " + quoted(head.partName) + " is not among the version's parts");
+    for (const ParsedNodeFile& d : drafts) {
         if (d.version == head.version) {
-            if (d.parts != head.parts)
+            if (d.partNames != head.partNames)
                 problems.add({d.file, 0, 0},
                              "parts: differ from those in " + head.file + " of the same version");
-            else if (!found.emplace(d.part, &d).second)
+            else if (!found.emplace(d.partName, &d).second)
                 problems.add({d.file, 0, 0},
-                             "part: " + quoted(d.part) + " is also " + found.at(d.part)->file);
-        } else if (wanted.contains(d.part)) {
+                             "part: " + quoted(d.partName) + " is also " + found.at(d.partName)->file);
+        } else if (wanted.contains(d.partName)) {
             problems.add({d.file, 0, 0},
-                         "part " + quoted(d.part) + " is still at version " + number(d.version) + ", " +
+                         "part " + quoted(d.partName) + " is still at version " + number(d.version) + ", " +
                              head.file + " is at " + number(head.version),
                          Severity::incomplete);
         }  // a part that the version no longer names is left over
@@ -146,19 +154,19 @@
         if (!found.contains(part))
             problems.add({head.file, 0, 0}, "part " + quoted(part) + " is not there", Severity::incomplete);
     }
-    std::vector<const Draft*> out;
+    std::vector<const ParsedNodeFile*> out;
     for (const auto& [part, d] : found) out.push_back(d);
     return out;
 }
 
-void checkSound(const std::vector<const Draft*>& parts, const Rules& rules, double nowMs,
-                Problems& problems) {
+void checkMembers(const std::vector<const ParsedNodeFile*>& parts, const MembershipRules& rules, double nowMs,
+                  ProblemCollector& problems) {
     std::unordered_map<std::string_view, Entry> names, dials;
     std::map<int, Weights> shards;
     std::size_t nodes = 0;
-    for (const Draft* d : parts) {
+    for (const ParsedNodeFile* d : parts) {
         nodes += d->members.size();
-        for (const DraftMember& entry : d->members) {
+        for (const ParsedMember& entry : d->members) {
             const Member& m = entry.member;
             const Entry here{d, &entry};
             const auto wrong = [&](const std::string& why) { problems.add(here.at(), why); };
@@ -167,39 +175,41 @@
                       " is not 1 to 128 letters, digits, '-', '.' or '_'");
             else if (const auto [at, fresh] = names.emplace(m.name, here); !fresh)
                 wrong("name: " + quoted(m.name) + " is also in " + at->second.text());
-            if (!goodDial(m.dial))
-                wrong("dial: " + quoted(m.dial.substr(0, 128)) + " is not host:port");
-            else if (const auto [at, fresh] = dials.emplace(m.dial, here); !fresh)
-                wrong("dial: " + quoted(m.dial) + " is also the address of " +
+            if (!goodDial(m.address))
+                wrong("dial: " + quoted(m.address.substr(0, 128)) + " is not host:port");
+            else if (const auto [at, fresh] = dials.emplace(m.address, here); !fresh)
+                wrong("dial: " + quoted(m.address) + " is also the address of " +
                       quoted(at->second.told->member.name) + " in " + at->second.text());
-            if (m.shard < 0 || (rules.shards > 0 && m.shard >= rules.shards))
+            if (m.shard < 0 || (rules.shardCount > 0 && m.shard >= rules.shardCount))
                 wrong("shard: " + std::to_string(m.shard) + " is unknown" +
-                      (rules.shards > 0 ? ", they are numbered from 0 to " + std::to_string(rules.shards - 1)
-                                        : std::string()));
+                      (rules.shardCount > 0
+                           ? ", they are numbered from 0 to " + std::to_string(rules.shardCount - 1)
+                           : std::string()));
             if (!std::isfinite(m.weight) || m.weight < 0) {
                 wrong("weight: not a number of 0 or more");
                 continue;
             }
-            if (entry.bornTold && (!std::isfinite(m.bornMs) || m.bornMs < 0))
+            if (entry.hasBootTime && (!std::isfinite(m.bootTimeMs) || m.bootTimeMs < 0))
                 wrong("born_ms: not a time");
-            else if (m.bornMs > nowMs + rules.bornAheadMs)
+            else if (m.bootTimeMs > nowMs + rules.maxClockSkewMs)
                 wrong("born_ms: lies in the future");
-            if (m.state != State::ready) continue;
+            if (m.state != MemberState::ready) continue;
             Weights& w = shards[m.shard];
             if (w.first.told == nullptr) w.first = here;
             w.most = std::max(w.most, m.weight);
             if (m.weight > 0) w.least = std::min(w.least, m.weight);
         }
     }
-    if (nodes > rules.nodes)
+    if (nodes > rules.maxNodes)
         problems.add({parts.front()->file, 0, 0},
-                     number(nodes) + " nodes, at most " + number(rules.nodes) + " are taken");
+                     number(nodes) + " nodes, at most " + number(rules.maxNodes) + " are taken");
     if (nodes == 0) problems.add({parts.front()->file, 0, 0}, "a version without any node");
     checkWeights(shards, rules, problems);
 }
 
-void checkLoss(const Membership& before, const std::vector<Member>& after, std::size_t leaving,
-               const std::vector<const Draft*>& parts, const Rules& rules, Problems& problems) {
+void checkRemovals(const Membership& before, const std::vector<Member>& after, std::size_t leaving,
+                   const std::vector<const ParsedNodeFile*>& parts, const MembershipRules& rules,
+                   ProblemCollector& problems) {
     std::set<std::string> racks;  // that serve afterwards
     std::set<int> shards;
     for (const Member& m : after) {
@@ -213,13 +223,13 @@
     for (const Member& m : before.members) {
         if (!m.serving()) continue;
         ++serving;
-        lost += !serves(after, m.name);
+        lost += !hasServingMember(after, m.name);
         if (!m.rack.empty() && !racks.contains(m.rack)) ++lostRacks[m.rack];
         if (!shards.contains(m.shard)) ++lostShards[m.shard];
     }
     const Allowed may = allowed(parts, before.version);
     const std::string from = number(before.version);
-    const Place head{parts.front()->file, 0, 0};
+    const SourceLocation head{parts.front()->file, 0, 0};
     const std::string hint =
         may.other ? " (a permit names another version than " + from + ", which is in force)" : "";
     for (const auto& [rack, nodes] : lostRacks) {
@@ -236,12 +246,12 @@
     }
     // In small steps as in one: what left a moment ago counts too.
     const double all = static_cast<double>(serving + leaving);
-    const double part = std::max(may.fleetPart, rules.mostLostPart);
+    const double part = std::max(may.fleetPart, rules.maxLostFraction);
     const std::size_t gone = lost + leaving;
     if (lost == 0 || gone <= 1 || static_cast<double>(gone) <= part * all * (1 + 1e-9)) return;
     problems.add(head, "would take " + number(gone) + " of " + number(serving + leaving) +
                            " nodes out of service within " +
-                           std::to_string(std::llround(rules.departMs / 1000)) +
+                           std::to_string(std::llround(rules.removalDrainMs / 1000)) +
                            " s; if this is meant, add: permit { from_version: " + from + " fleet_part: " +
                            std::to_string(static_cast<double>(gone) / all).substr(0, 4) + " }" + hint);
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,7 +8,9 @@
 namespace martencove::membership {
 namespace {
 
-Step stepOf(const Member& m) { return m.state == State::ready && !m.leaving ? Step::ready : Step::draining; }
+TargetState stepOf(const Member& m) {
+    return m.state == MemberState::ready && !m.leaving ? TargetState::ready : TargetState::draining;
+}
 
 std::string figure(double value) {
     char text[32];
@@ -36,29 +38,29 @@
 }  // namespace
 
 std::string Problem::text() const {
-    std::string out = at.file;
-    if (at.line > 0) out += ':' + std::to_string(at.line);
-    if (at.line > 0 && at.column > 0) out += ':' + std::to_string(at.column);
+    std::string out = location.file;
+    if (location.line > 0) out += ':' + std::to_string(location.line);
+    if (location.line > 0 && location.column > 0) out += ':' + std::to_string(location.column);
     return (out.empty() ? "" : out + ": ") + reason;
 }
 
-const Member* find(const std::vector<Member>& byName, const std::string& name) {
+const Member* findMember(const std::vector<Member>& byName, const std::string& name) {
     const auto at = std::lower_bound(byName.begin(), byName.end(), name,
                                      [](const Member& m, const std::string& n) { return m.name < n; });
     return at != byName.end() && at->name == name ? &*at : nullptr;
 }
 
-bool serves(const std::vector<Member>& byName, const std::string& name) {
-    const Member* m = find(byName, name);
+bool hasServingMember(const std::vector<Member>& byName, const std::string& name) {
+    const Member* m = findMember(byName, name);
     return m != nullptr && m->serving();
 }
 
-std::vector<Change> changes(const Membership* before, const Membership& after) {
-    std::vector<Change> out;
+std::vector<MemberChange> diffMemberships(const Membership* before, const Membership& after) {
+    std::vector<MemberChange> out;
     compare(
         before, after,
         [&](const Member& m) {
-            out.push_back({m, Step::gone});
+            out.push_back({m, TargetState::gone});
         },
         [&](const Member& m) {
             out.push_back({m, stepOf(m)});
@@ -69,26 +71,26 @@
     // A shard's changes stand together, so that whoever takes them in parts can take a shard whole. Shards
     // that lose a node come first: work to it must stop in time.
     std::unordered_set<int> urgent;
-    for (const Change& c : out) {
-        if (c.step != Step::ready) urgent.insert(c.member.shard);
+    for (const MemberChange& c : out) {
+        if (c.targetState != TargetState::ready) urgent.insert(c.member.shard);
     }
-    std::stable_sort(out.begin(), out.end(), [&](const Change& a, const Change& b) {
+    std::stable_sort(out.begin(), out.end(), [&](const MemberChange& a, const MemberChange& b) {
         return std::tuple(!urgent.contains(a.member.shard), a.member.shard) <
                std::tuple(!urgent.contains(b.member.shard), b.member.shard);
     });
     return out;
 }
 
-std::vector<std::string> describe(const Membership* before, const Membership& after) {
+std::vector<std::string> describeChanges(const Membership* before, const Membership& after) {
     std::vector<std::string> out;
     std::size_t came = 0, left = 0, changed = 0, same = 0;
     const auto line = [](const Member& m) {
-        std::string text =
-            m.name + " at " + m.dial + ", shard " + std::to_string(m.shard) + ", weight " + figure(m.weight);
+        std::string text = m.name + " at " + m.address + ", shard " + std::to_string(m.shard) + ", weight " +
+                           figure(m.weight);
         if (!m.rack.empty()) text += ", rack " + m.rack;
         if (m.leaving)
             text += ", leaving";
-        else if (m.state == State::draining)
+        else if (m.state == MemberState::draining)
             text += ", draining";
         return text;
     };
@@ -101,14 +103,14 @@
                 if (x != y) what += std::string(what.empty() ? " " : ", ") + field + ' ' + x + " -> " + y;
             };
             const auto state = [](const Member& m) {
-                return m.leaving ? "leaving" : m.state == State::ready ? "ready" : "draining";
+                return m.leaving ? "leaving" : m.state == MemberState::ready ? "ready" : "draining";
             };
-            differ("address", a.dial, b.dial);
+            differ("address", a.address, b.address);
             differ("shard", std::to_string(a.shard), std::to_string(b.shard));
             differ("weight", figure(a.weight), figure(b.weight));
             differ("rack", a.rack, b.rack);
             differ("state", state(a), state(b));
-            if (a.bornMs != b.bornMs) what += what.empty() ? " started anew" : ", started anew";
+            if (a.bootTimeMs != b.bootTimeMs) what += what.empty() ? " started anew" : ", started anew";
             if (what.empty()) return void(++same);
             ++changed;
             out.push_back("~ " + a.name + what);
--- a/src/nbd/codec.cpp
+++ b/src/nbd/codec.cpp
@@ -70,58 +70,58 @@
 std::string encode(const OptionMessage& m) {
     return join(kOptionMagic, m.option, static_cast<std::uint32_t>(m.data.size())) + m.data;
 }
-std::string encode(const OptionAnswer& a) {
-    return join(kAnswerMagic, a.option, a.reply, static_cast<std::uint32_t>(a.data.size())) + a.data;
+std::string encode(const OptionReplyMessage& a) {
+    return join(kAnswerMagic, a.option, a.type, static_cast<std::uint32_t>(a.data.size())) + a.data;
 }
 std::string encode(const InfoRequest& r) {
     std::string out = join(static_cast<std::uint32_t>(r.name.size())) + r.name;
-    put(out, static_cast<std::uint16_t>(r.wanted.size()));
-    for (const std::uint16_t kind : r.wanted) put(out, kind);
+    put(out, static_cast<std::uint16_t>(r.infoTypes.size()));
+    for (const std::uint16_t kind : r.infoTypes) put(out, kind);
     return out;
 }
-std::string encodeExport(const ExportInfo& i) { return join(kInfoExport, i.size, i.flags); }
+std::string encodeExportInfo(const ExportInfo& i) { return join(kInfoExport, i.size, i.flags); }
 std::string encodeBlockSizes(std::uint32_t most) {
     return join(kInfoBlockSizes, std::uint32_t{1}, std::min<std::uint32_t>(4096, most), most);
 }
-std::string encodeListed(const std::string& name) {
+std::string encodeListEntry(const std::string& name) {
     return join(static_cast<std::uint32_t>(name.size())) + name;
 }
-std::string encodeOldExport(const ExportInfo& i, bool zeroes) {
+std::string encodeExportNameReply(const ExportInfo& i, bool zeroes) {
     return join(i.size, i.flags) + std::string(zeroes ? kOldZeroes : 0, '\0');
 }
 
-Got take(std::string_view& in, Greeting& out) {
+DecodeResult decode(std::string_view& in, Greeting& out) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kHello, kOptionMagic))) return Got::bad;
+    if (!mayBegin(in, join(kHello, kOptionMagic))) return DecodeResult::malformed;
     std::uint64_t hello = 0, magic = 0;
-    if (!getAll(rest, hello, magic, out.flags)) return Got::more;
+    if (!getAll(rest, hello, magic, out.flags)) return DecodeResult::needMore;
     in = rest;
-    return (out.flags & kFixedNewstyle) != 0 ? Got::whole : Got::bad;
+    return (out.flags & kFixedNewstyle) != 0 ? DecodeResult::complete : DecodeResult::malformed;
 }
-Got takeClientFlags(std::string_view& in, std::uint32_t& out) {
-    return get(in, out) ? Got::whole : Got::more;
+DecodeResult decodeClientFlags(std::string_view& in, std::uint32_t& out) {
+    return get(in, out) ? DecodeResult::complete : DecodeResult::needMore;
 }
-Got take(std::string_view& in, OptionMessage& out, std::size_t most) {
+DecodeResult decode(std::string_view& in, OptionMessage& out, std::size_t most) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kOptionMagic))) return Got::bad;
+    if (!mayBegin(in, join(kOptionMagic))) return DecodeResult::malformed;
     std::uint64_t magic = 0;
     std::uint32_t size = 0;
-    if (!getAll(rest, magic, out.option, size)) return Got::more;
-    if (size > most) return Got::bad;
-    if (!getText(rest, size, out.data)) return Got::more;
+    if (!getAll(rest, magic, out.option, size)) return DecodeResult::needMore;
+    if (size > most) return DecodeResult::malformed;
+    if (!getText(rest, size, out.data)) return DecodeResult::needMore;
     in = rest;
-    return Got::whole;
+    return DecodeResult::complete;
 }
-Got take(std::string_view& in, OptionAnswer& out, std::size_t most) {
+DecodeResult decode(std::string_view& in, OptionReplyMessage& out, std::size_t most) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kAnswerMagic))) return Got::bad;
+    if (!mayBegin(in, join(kAnswerMagic))) return DecodeResult::malformed;
     std::uint64_t magic = 0;
     std::uint32_t size = 0;
-    if (!getAll(rest, magic, out.option, out.reply, size)) return Got::more;
-    if (size > most) return Got::bad;
-    if (!getText(rest, size, out.data)) return Got::more;
+    if (!getAll(rest, magic, out.option, out.type, size)) return DecodeResult::needMore;
+    if (size > most) return DecodeResult::malformed;
+    if (!getText(rest, size, out.data)) return DecodeResult::needMore;
     in = rest;
-    return Got::whole;
+    return DecodeResult::complete;
 }
 std::optional<InfoRequest> decodeInfoRequest(std::string_view data) {
     InfoRequest out;
@@ -130,11 +130,11 @@
     if (!get(data, size) || !getText(data, size, out.name) || !get(data, count) ||
         data.size() != sizeof(std::uint16_t) * count)
         return std::nullopt;
-    out.wanted.resize(count);
-    for (std::uint16_t& kind : out.wanted) (void)get(data, kind);
+    out.infoTypes.resize(count);
+    for (std::uint16_t& kind : out.infoTypes) (void)get(data, kind);
     return out;
 }
-std::optional<ExportInfo> decodeExport(std::string_view data) {
+std::optional<ExportInfo> decodeExportInfo(std::string_view data) {
     std::uint16_t kind = 0;
     ExportInfo out;
     if (!getAll(data, kind, out.size, out.flags) || kind != kInfoExport || !data.empty()) return std::nullopt;
@@ -155,34 +155,35 @@
 std::string encodeData(std::uint64_t offset, std::string_view data) { return join(offset).append(data); }
 std::string encodeHole(std::uint64_t offset, std::uint32_t length) { return join(offset, length); }
 
-Got take(std::string_view& in, CommandMessage& out, std::size_t most) {
+DecodeResult decode(std::string_view& in, CommandMessage& out, std::size_t most) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kCommandMagic))) return Got::bad;
+    if (!mayBegin(in, join(kCommandMagic))) return DecodeResult::malformed;
     std::uint32_t magic = 0;
-    if (!getAll(rest, magic, out.flags, out.command, out.cookie, out.offset, out.length)) return Got::more;
+    if (!getAll(rest, magic, out.flags, out.command, out.cookie, out.offset, out.length))
+        return DecodeResult::needMore;
     out.data.clear();
     const bool data = out.command == Command::write && out.length <= most;
-    if (data && !getText(rest, out.length, out.data)) return Got::more;
+    if (data && !getText(rest, out.length, out.data)) return DecodeResult::needMore;
     in = rest;
-    return Got::whole;
+    return DecodeResult::complete;
 }
-Got take(std::string_view& in, SimpleReply& out) {
+DecodeResult decode(std::string_view& in, SimpleReply& out) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kSimpleMagic))) return Got::bad;
+    if (!mayBegin(in, join(kSimpleMagic))) return DecodeResult::malformed;
     std::uint32_t magic = 0;
-    if (!getAll(rest, magic, out.error, out.cookie)) return Got::more;
+    if (!getAll(rest, magic, out.error, out.cookie)) return DecodeResult::needMore;
     in = rest;
-    return Got::whole;
+    return DecodeResult::complete;
 }
-Got take(std::string_view& in, ChunkMessage& out, std::size_t most) {
+DecodeResult decode(std::string_view& in, ChunkMessage& out, std::size_t most) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kChunkMagic))) return Got::bad;
+    if (!mayBegin(in, join(kChunkMagic))) return DecodeResult::malformed;
     std::uint32_t magic = 0, size = 0;
-    if (!getAll(rest, magic, out.flags, out.type, out.cookie, size)) return Got::more;
-    if (size > most) return Got::bad;
-    if (!getText(rest, size, out.payload)) return Got::more;
+    if (!getAll(rest, magic, out.flags, out.type, out.cookie, size)) return DecodeResult::needMore;
+    if (size > most) return DecodeResult::malformed;
+    if (!getText(rest, size, out.payload)) return DecodeResult::needMore;
     in = rest;
-    return Got::whole;
+    return DecodeResult::complete;
 }
 std::optional<ErrorChunk> decodeError(std::string_view payload) {
     ErrorChunk out;
@@ -192,41 +193,46 @@
     return out;
 }
 
-Assembly::Assembly(std::uint64_t offset, std::uint32_t length, std::size_t mostChunks)
-    : offset_(offset), data_(length, '\0'), there_(length), missing_(length), chunksLeft_(mostChunks) {}
+ReadAssembler::ReadAssembler(std::uint64_t offset, std::uint32_t length, std::size_t mostChunks)
+    : offset_(offset),
+      data_(length, '\0'),
+      received_(length),
+      missingBytes_(length),
+      chunksLeft_(mostChunks) {}
 
-bool Assembly::add(const ChunkMessage& chunk) {
+bool ReadAssembler::add(const ChunkMessage& chunk) {
     if (chunksLeft_ == 0) return false;
     --chunksLeft_;
     std::string_view in = chunk.payload;
     std::uint64_t offset = 0;
     switch (chunk.type) {
-        case Chunk::none:
-            return in.empty() && (chunk.flags & kDone) != 0;
-        case Chunk::data:
-            return get(in, offset) && !in.empty() && fill(offset, in.size(), in.data());
-        case Chunk::hole: {
+        case ChunkType::none:
+            return in.empty() && (chunk.flags & kReplyFlagDone) != 0;
+        case ChunkType::data:
+            return get(in, offset) && !in.empty() && fillRange(offset, in.size(), in.data());
+        case ChunkType::hole: {
             std::uint32_t length = 0;
-            return getAll(in, offset, length) && in.empty() && length > 0 && fill(offset, length, nullptr);
+            return getAll(in, offset, length) && in.empty() && length > 0 &&
+                   fillRange(offset, length, nullptr);
         }
         default:
             break;
     }
-    if ((static_cast<std::uint16_t>(chunk.type) & kErrorBit) == 0) return false;
+    if ((static_cast<std::uint16_t>(chunk.type) & kChunkErrorBit) == 0) return false;
     const auto error = decodeError(in);
     if (error && !error_) error_ = error;  // the first one says what went wrong
     return error.has_value();
 }
 
-bool Assembly::fill(std::uint64_t offset, std::uint64_t length, const char* from) {
+bool ReadAssembler::fillRange(std::uint64_t offset, std::uint64_t length, const char* from) {
     if (offset < offset_ || offset - offset_ > data_.size() || length > data_.size() - (offset - offset_))
         return false;
     const auto at = static_cast<std::ptrdiff_t>(offset - offset_);
-    const auto first = there_.begin() + at, last = first + static_cast<std::ptrdiff_t>(length);
+    const auto first = received_.begin() + at, last = first + static_cast<std::ptrdiff_t>(length);
     if (std::find(first, last, true) != last) return false;
     std::fill(first, last, true);
     if (from != nullptr) std::copy_n(from, length, data_.begin() + at);
-    missing_ -= length;
+    missingBytes_ -= length;
     return true;
 }
 
--- a/src/nbd/codec.h
+++ b/src/nbd/codec.h
@@ -10,12 +10,13 @@
 
 namespace martencove::nbd {
 
-enum class Got { more, whole, bad };
+enum class DecodeResult { needMore, complete, malformed };
 
 // ---- Handshake ----
 
 inline constexpr std::uint16_t kFixedNewstyle = 1, kNoZeroes = 2;  // the server's, and the client's
-inline constexpr std::uint16_t kHasFlags = 1, kReadOnly = 2, kSendDf = 1 << 7;  // of an export
+inline constexpr std::uint16_t kExportHasFlags = 1, kExportReadOnly = 2,
+                               kExportSendDf = 1 << 7;  // of an export
 
 enum class Option : std::uint32_t {
     exportName = 1,
@@ -25,7 +26,7 @@
     go = 7,
     structuredReply = 8
 };
-enum class OptionReply : std::uint32_t {
+enum class OptionReplyType : std::uint32_t {
     ack = 1,
     server = 2,
     info = 3,
@@ -44,15 +45,15 @@
     Option option{};
     std::string data;
 };
-struct OptionAnswer {
+struct OptionReplyMessage {
     Option option{};
-    OptionReply reply{};
+    OptionReplyType type{};
     std::string data;
 };
 /// The data of INFO and GO.
 struct InfoRequest {
     std::string name;
-    std::vector<std::uint16_t> wanted;
+    std::vector<std::uint16_t> infoTypes;
 };
 struct ExportInfo {
     std::uint64_t size = 0;
@@ -62,29 +63,29 @@
 [[nodiscard]] std::string encode(const Greeting& greeting);
 [[nodiscard]] std::string encodeClientFlags(std::uint32_t flags);
 [[nodiscard]] std::string encode(const OptionMessage& message);
-[[nodiscard]] std::string encode(const OptionAnswer& answer);
-[[nodiscard]] std::string encode(const InfoRequest& request);     ///< as data
-[[nodiscard]] std::string encodeExport(const ExportInfo& info);   ///< as data of an info reply
-[[nodiscard]] std::string encodeBlockSizes(std::uint32_t most);   ///< as data of an info reply
-[[nodiscard]] std::string encodeListed(const std::string& name);  ///< as data of a server reply
-[[nodiscard]] std::string encodeOldExport(const ExportInfo& info,
-                                          bool zeroes);  ///< the answer to EXPORT_NAME
-
-[[nodiscard]] Got take(std::string_view& in, Greeting& out);
-[[nodiscard]] Got takeClientFlags(std::string_view& in, std::uint32_t& out);
-[[nodiscard]] Got take(std::string_view& in, OptionMessage& out, std::size_t most);
-[[nodiscard]] Got take(std::string_view& in, OptionAnswer& out, std::size_t most);
+[[nodiscard]] std::string encode(const OptionReplyMessage& answer);
+[[nodiscard]] std::string encode(const InfoRequest& request);        ///< as data
+[[nodiscard]] std::string encodeExportInfo(const ExportInfo& info);  ///< as data of an info reply
+[[nodiscard]] std::string encodeBlockSizes(std::uint32_t most);      ///< as data of an info reply
+[[nodiscard]] std::string encodeListEntry(const std::string& name);  ///< as data of a server reply
+[[nodiscard]] std::string encodeExportNameReply(const ExportInfo& info,
+                                                bool zeroes);  ///< the answer to EXPORT_NAME
+
+[[nodiscard]] DecodeResult decode(std::string_view& in, Greeting& out);
+[[nodiscard]] DecodeResult decodeClientFlags(std::string_view& in, std::uint32_t& out);
+[[nodiscard]] DecodeResult decode(std::string_view& in, OptionMessage& out, std::size_t most);
+[[nodiscard]] DecodeResult decode(std::string_view& in, OptionReplyMessage& out, std::size_t most);
 [[nodiscard]] std::optional<InfoRequest> decodeInfoRequest(std::string_view data);
 /// Nothing for an info of another kind.
-[[nodiscard]] std::optional<ExportInfo> decodeExport(std::string_view data);
+[[nodiscard]] std::optional<ExportInfo> decodeExportInfo(std::string_view data);
 
 // ---- Transmission ----
 
 enum class Command : std::uint16_t { read = 0, write = 1, disconnect = 2 };
-inline constexpr std::uint16_t kFlagDf = 1 << 2;
-inline constexpr std::uint16_t kDone = 1;
-enum class Chunk : std::uint16_t { none = 0, data = 1, hole = 2, error = 0x8001, errorOffset = 0x8002 };
-inline constexpr std::uint16_t kErrorBit = 0x8000;
+inline constexpr std::uint16_t kCommandFlagDf = 1 << 2;
+inline constexpr std::uint16_t kReplyFlagDone = 1;
+enum class ChunkType : std::uint16_t { none = 0, data = 1, hole = 2, error = 0x8001, errorOffset = 0x8002 };
+inline constexpr std::uint16_t kChunkErrorBit = 0x8000;
 enum class Error : std::uint32_t {
     none = 0,
     io = 5,
@@ -108,7 +109,7 @@
 };
 struct ChunkMessage {
     std::uint16_t flags = 0;
-    Chunk type{};
+    ChunkType type{};
     std::uint64_t cookie = 0;
     std::string payload;
 };
@@ -125,28 +126,28 @@
 [[nodiscard]] std::string encodeHole(std::uint64_t offset, std::uint32_t length);   ///< as payload
 
 /// A write longer than `most` comes without its data: the connection cannot go on after it.
-[[nodiscard]] Got take(std::string_view& in, CommandMessage& out, std::size_t most);
-[[nodiscard]] Got take(std::string_view& in, SimpleReply& out);
-[[nodiscard]] Got take(std::string_view& in, ChunkMessage& out, std::size_t most);
+[[nodiscard]] DecodeResult decode(std::string_view& in, CommandMessage& out, std::size_t most);
+[[nodiscard]] DecodeResult decode(std::string_view& in, SimpleReply& out);
+[[nodiscard]] DecodeResult decode(std::string_view& in, ChunkMessage& out, std::size_t most);
 [[nodiscard]] std::optional<ErrorChunk> decodeError(std::string_view payload);
 
 /// Puts the chunks of one read together. Each byte may come once.
-class Assembly {
+class ReadAssembler {
 public:
-    Assembly(std::uint64_t offset, std::uint32_t length, std::size_t mostChunks);
+    ReadAssembler(std::uint64_t offset, std::uint32_t length, std::size_t mostChunks);
     /// False: the chunk is out of place, twice there, or one too many.
     [[nodiscard]] bool add(const ChunkMessage& chunk);
-    [[nodiscard]] bool whole() const { return missing_ == 0; }
+    [[nodiscard]] bool isComplete() const { return missingBytes_ == 0; }
     [[nodiscard]] std::string& data() { return data_; }
     [[nodiscard]] const std::optional<ErrorChunk>& error() const { return error_; }
 
 private:
-    [[nodiscard]] bool fill(std::uint64_t offset, std::uint64_t length, const char* from);
+    [[nodiscard]] bool fillRange(std::uint64_t offset, std::uint64_t length, const char* from);
 
     std::uint64_t offset_;
     std::string data_;
-    std::vector<bool> there_;
-    std::size_t missing_;
+    std::vector<bool> received_;
+    std::size_t missingBytes_;
     std::size_t chunksLeft_;
     std::optional<ErrorChunk> error_;
 };
--- a/src/nbd/node_link.cpp
+++ b/src/nbd/node_link.cpp
@@ -2,125 +2,126 @@
 
 namespace martencove::nbd {
 
-void NodeLink::start(const Work& work, const AttemptTimes& times, Over over) {
-    work_ = work;
-    ended_ = false;
-    begin(times, std::move(over));
-    if (state_ == State::ready) command();
+void NbdNodeConnection::start(const Work& work, const AttemptTimeouts& times, DoneCallback over) {
+    command_ = work;
+    commandFinished_ = false;
+    beginRequest(times, std::move(over));
+    if (state_ == State::ready) sendCommand();
 }
 
-void NodeLink::arrived(std::string_view& in) {
-    Got got = Got::whole;
-    while (got == Got::whole && !ended_ && !in.empty()) got = step(in);
-    if (got != Got::bad) return;
+void NbdNodeConnection::onData(std::string_view& in) {
+    DecodeResult got = DecodeResult::complete;
+    while (got == DecodeResult::complete && !commandFinished_ && !in.empty()) got = handleMessage(in);
+    if (got != DecodeResult::malformed) return;
     counters_.add("nbd_node_bad");
-    spoil();
+    failInvalidReply();
 }
 
-Got NodeLink::step(std::string_view& in) {
+DecodeResult NbdNodeConnection::handleMessage(std::string_view& in) {
     switch (state_) {
         case State::greeting:
-            return greeted(in);
-        case State::structured:
+            return handleGreeting(in);
+        case State::structuredReply:
         case State::go:
-            return negotiated(in);
+            return handleOptionReply(in);
         case State::ready:
-            return replied(in);
+            return handleReply(in);
     }
-    return Got::bad;
+    return DecodeResult::malformed;
 }
 
-Got NodeLink::greeted(std::string_view& in) {
+DecodeResult NbdNodeConnection::handleGreeting(std::string_view& in) {
     Greeting greeting;
-    const Got got = take(in, greeting);
-    if (got != Got::whole) return got;
-    state_ = State::structured;
+    const DecodeResult got = decode(in, greeting);
+    if (got != DecodeResult::complete) return got;
+    state_ = State::structuredReply;
     write(encodeClientFlags(kFixedNewstyle | (greeting.flags & kNoZeroes)) +
           encode(OptionMessage{Option::structuredReply, ""}));
     return got;
 }
 
-Got NodeLink::negotiated(std::string_view& in) {
-    OptionAnswer answer;
-    const Got got = take(in, answer, limits_.nbdOption);
-    if (got != Got::whole) return got;
-    if (answer.option != (state_ == State::structured ? Option::structuredReply : Option::go))
-        return Got::bad;
-    if (answer.reply == OptionReply::shutdown) {  // it drains: nothing ran here
-        end(Ending::turnedAway);
+DecodeResult NbdNodeConnection::handleOptionReply(std::string_view& in) {
+    OptionReplyMessage answer;
+    const DecodeResult got = decode(in, answer, limits_.maxNbdOptionBytes);
+    if (got != DecodeResult::complete) return got;
+    if (answer.option != (state_ == State::structuredReply ? Option::structuredReply : Option::go))
+        return DecodeResult::malformed;
+    if (answer.type == OptionReplyType::shutdown) {  // it drains: nothing ran here
+        finishCommand(AttemptStatus::rejected);
         return got;
     }
-    if (state_ == State::structured) {
-        structured_ = answer.reply == OptionReply::ack;
+    if (state_ == State::structuredReply) {
+        structuredReplies_ = answer.type == OptionReplyType::ack;
         state_ = State::go;
-        write(encode(OptionMessage{Option::go, encode(InfoRequest{export_, {}})}));
+        write(encode(OptionMessage{Option::go, encode(InfoRequest{exportName_, {}})}));
         return got;
     }
-    if (answer.reply == OptionReply::info) {
-        if (const auto info = decodeExport(answer.data)) size_ = info->size;
+    if (answer.type == OptionReplyType::info) {
+        if (const auto info = decodeExportInfo(answer.data)) exportSize_ = info->size;
         return got;
     }
-    if (answer.reply != OptionReply::ack) return Got::bad;
-    if (work_.offset + work_.length > size_) {
-        end(Ending::notConnected);
+    if (answer.type != OptionReplyType::ack) return DecodeResult::malformed;
+    if (command_.offset + command_.length > exportSize_) {
+        finishCommand(AttemptStatus::notConnected);
         return got;
     }
     state_ = State::ready;
-    command();
+    sendCommand();
     return got;
 }
 
-void NodeLink::command() {
-    assembly_.emplace(work_.offset, work_.write ? 0 : work_.length, limits_.nbdChunks);
-    writeLast(encode(CommandMessage{0, work_.write ? Command::write : Command::read, ++cookie_, work_.offset,
-                                    work_.length, work_.data}));
+void NbdNodeConnection::sendCommand() {
+    readAssembler_.emplace(command_.offset, command_.isWrite ? 0 : command_.length,
+                           limits_.maxNbdReplyChunks);
+    writeFinal(encode(CommandMessage{0, command_.isWrite ? Command::write : Command::read, ++cookie_,
+                                     command_.offset, command_.length, command_.data}));
 }
 
 // A write may be answered simply even where structured replies were agreed on.
-Got NodeLink::replied(std::string_view& in) {
-    const bool simpleComes = work_.write && in.substr(0, 1) == "\x67";
-    return structured_ && !simpleComes ? chunked(in) : simple(in);
+DecodeResult NbdNodeConnection::handleReply(std::string_view& in) {
+    const bool simpleComes = command_.isWrite && in.substr(0, 1) == "\x67";
+    return structuredReplies_ && !simpleComes ? handleReplyChunk(in) : handleSimpleReply(in);
 }
 
-Got NodeLink::simple(std::string_view& in) {
+DecodeResult NbdNodeConnection::handleSimpleReply(std::string_view& in) {
     std::string_view rest = in;
     SimpleReply reply;
-    const Got got = take(rest, reply);
-    if (got != Got::whole) return got;
-    if (reply.cookie != cookie_) return Got::bad;
-    if (reply.error == Error::none && !work_.write) {
-        if (rest.size() < work_.length) return Got::more;
-        assembly_->data() = rest.substr(0, work_.length);
-        rest.remove_prefix(work_.length);
+    const DecodeResult got = decode(rest, reply);
+    if (got != DecodeResult::complete) return got;
+    if (reply.cookie != cookie_) return DecodeResult::malformed;
+    if (reply.error == Error::none && !command_.isWrite) {
+        if (rest.size() < command_.length) return DecodeResult::needMore;
+        readAssembler_->data() = rest.substr(0, command_.length);
+        rest.remove_prefix(command_.length);
     }
     in = rest;
-    end(endingOf(reply.error));
+    finishCommand(attemptStatus(reply.error));
     return got;
 }
 
-Got NodeLink::chunked(std::string_view& in) {
+DecodeResult NbdNodeConnection::handleReplyChunk(std::string_view& in) {
     ChunkMessage chunk;
-    const Got got = take(in, chunk, limits_.body + 64);
-    if (got != Got::whole) return got;
-    if (chunk.cookie != cookie_ || !assembly_->add(chunk)) return Got::bad;
-    if ((chunk.flags & kDone) == 0) return got;
-    if (!assembly_->error() && !assembly_->whole()) return Got::bad;
-    end(endingOf(assembly_->error() ? assembly_->error()->error : Error::none));
+    const DecodeResult got = decode(in, chunk, limits_.maxRequestBodyBytes + 64);
+    if (got != DecodeResult::complete) return got;
+    if (chunk.cookie != cookie_ || !readAssembler_->add(chunk)) return DecodeResult::malformed;
+    if ((chunk.flags & kReplyFlagDone) == 0) return got;
+    if (!readAssembler_->error() && !readAssembler_->isComplete()) return DecodeResult::malformed;
+    finishCommand(attemptStatus(readAssembler_->error() ? readAssembler_->error()->error : Error::none));
     return got;
 }
 
 // A node that shuts down has not run the command; of one that says it has no room that is sure for reads.
-Ending NodeLink::endingOf(Error error) const {
-    if (error == Error::none) return Ending::served;
-    const bool declined = error == Error::shutdown || (error == Error::noMemory && !work_.write);
-    return declined ? Ending::turnedAway : Ending::error;
+AttemptStatus NbdNodeConnection::attemptStatus(Error error) const {
+    if (error == Error::none) return AttemptStatus::served;
+    const bool declined = error == Error::shutdown || (error == Error::noMemory && !command_.isWrite);
+    return declined ? AttemptStatus::rejected : AttemptStatus::error;
 }
 
-void NodeLink::end(Ending ending) {
-    ended_ = true;
-    Reply reply{ending, {}, {}};
-    if (ending == Ending::served && !work_.write) reply.body = std::move(assembly_->data());
-    settle(std::move(reply), state_ == State::ready);
+void NbdNodeConnection::finishCommand(AttemptStatus ending) {
+    commandFinished_ = true;
+    NodeReply reply{ending, {}, {}};
+    if (ending == AttemptStatus::served && !command_.isWrite) reply.body = std::move(readAssembler_->data());
+    setReply(std::move(reply), state_ == State::ready);
 }
 
 }  // namespace martencove::nbd
--- a/src/nbd/node_link.h
+++ b/src/nbd/node_link.h
@@ -9,54 +9,54 @@
 
 namespace martencove::nbd {
 
-struct Work {
+struct NodeCommand {
     std::string exportName;
-    bool write = false;
+    bool isWrite = false;
     std::uint64_t offset = 0;
     std::uint32_t length = 0;
     std::string data;  ///< of a write
 };
 
 /// A connection to a node's export: its handshake, then one command at a time.
-class NodeLink final : public Link {
+class NbdNodeConnection final : public NodeConnection {
 public:
-    using Work = nbd::Work;
-    static constexpr const char* kOpened = "nbd_node_connection_opened";
-    static constexpr bool kDialsWithoutWork = false;  // its handshake is part of the first one's
+    using Work = nbd::NodeCommand;
+    static constexpr const char* kOpenedCounter = "nbd_node_connection_opened";
+    static constexpr bool kCanPreconnect = false;  // its handshake is part of the first one's
 
-    NodeLink(event_base* base, const Address& node, const Work& work, const Limits& limits,
-             Counters& counters)
-        : Link(base, node, limits, counters), export_(work.exportName) {}
+    NbdNodeConnection(event_base* base, const Address& node, const Work& work, const Limits& limits,
+                      Counters& counters)
+        : NodeConnection(base, node, limits, counters), exportName_(work.exportName) {}
 
-    [[nodiscard]] bool fits(const Address& to, const Work& work) const {
-        return node() == to && export_ == work.exportName;
+    [[nodiscard]] bool matches(const Address& to, const Work& work) const {
+        return address() == to && exportName_ == work.exportName;
     }
-    void start(const Work& work, const AttemptTimes& times, Over over);
+    void start(const Work& work, const AttemptTimeouts& times, DoneCallback over);
 
 private:
-    enum class State { greeting, structured, go, ready };
-
-    void arrived(std::string_view& in) override;
-    Got step(std::string_view& in);
-    Got greeted(std::string_view& in);
-    Got negotiated(std::string_view& in);
-    Got replied(std::string_view& in);
-    Got simple(std::string_view& in);
-    Got chunked(std::string_view& in);
-    void command();
-    void end(Ending ending);
-    Ending endingOf(Error error) const;
-
-    std::string export_;
+    enum class State { greeting, structuredReply, go, ready };
+
+    void onData(std::string_view& in) override;
+    DecodeResult handleMessage(std::string_view& in);
+    DecodeResult handleGreeting(std::string_view& in);
+    DecodeResult handleOptionReply(std::string_view& in);
+    DecodeResult handleReply(std::string_view& in);
+    DecodeResult handleSimpleReply(std::string_view& in);
+    DecodeResult handleReplyChunk(std::string_view& in);
+    void sendCommand();
+    void finishCommand(AttemptStatus ending);
+    AttemptStatus attemptStatus(Error error) const;
+
+    std::string exportName_;
     State state_ = State::greeting;
-    bool structured_ = false;
-    std::uint64_t size_ = 0;
+    bool structuredReplies_ = false;
+    std::uint64_t exportSize_ = 0;
     std::uint64_t cookie_ = 0;
-    Work work_;
-    std::optional<Assembly> assembly_;
-    bool ended_ = false;
+    Work command_;
+    std::optional<ReadAssembler> readAssembler_;
+    bool commandFinished_ = false;
 };
 
-using Pool = LinkPool<NodeLink>;
+using NbdNodeConnectionPool = NodeConnectionPool<NbdNodeConnection>;
 
 }  // namespace martencove::nbd
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -13,7 +13,7 @@
 struct Address {
     std::string host;
     std::uint16_t port = 0;
-    [[nodiscard]] std::string text() const { return host + ':' + std::to_string(port); }
+    [[nodiscard]] std::string toString() const { return host + ':' + std::to_string(port); }
     [[nodiscard]] sockaddr_in socketAddress() const;
     bool operator==(const Address&) const = default;
 };
--- a/src/net/lingering_closes.cpp
+++ b/src/net/lingering_closes.cpp
@@ -19,52 +19,52 @@
 
 }  // namespace
 
-LingeringCloses::Closing::Closing(LingeringCloses& o, HeldBuffers c)
+LingeringCloses::ClosingConnection::ClosingConnection(LingeringCloses& o, BuffereventRef c)
     : owner(o),
       connection(std::move(c)),
-      untilMs(o.clock_.nowMs() + o.limits_.lingerMs),
-      readable(event_new(o.base_, bufferevent_getfd(connection.get()), EV_READ, happened, this)) {
+      deadlineMs(o.clock_.nowMs() + o.limits_.lingerTimeoutMs),
+      readEvent(event_new(o.base_, bufferevent_getfd(connection.get()), EV_READ, onEvent, this)) {
     shutdown(bufferevent_getfd(connection.get()), SHUT_WR);
-    wait();
+    waitForInput();
 }
 
-void LingeringCloses::Closing::happened(evutil_socket_t, short what, void* arg) {
-    auto* self = static_cast<Closing*>(arg);
-    const bool expired = (what & EV_TIMEOUT) != 0 || self->owner.clock_.nowMs() >= self->untilMs;
-    if (expired || !self->drop()) return self->owner.remove(*self);
-    self->wait();
+void LingeringCloses::ClosingConnection::onEvent(evutil_socket_t, short what, void* arg) {
+    auto* self = static_cast<ClosingConnection*>(arg);
+    const bool expired = (what & EV_TIMEOUT) != 0 || self->owner.clock_.nowMs() >= self->deadlineMs;
+    if (expired || !self->discardInput()) return self->owner.remove(*self);
+    self->waitForInput();
 }
 
-void LingeringCloses::Closing::wait() {
-    const timeval left = timevalOf(std::max(0.0, untilMs - owner.clock_.nowMs()));
-    event_add(readable.get(), &left);
+void LingeringCloses::ClosingConnection::waitForInput() {
+    const timeval left = toTimeval(std::max(0.0, deadlineMs - owner.clock_.nowMs()));
+    event_add(readEvent.get(), &left);
 }
 
-bool LingeringCloses::Closing::drop() {
+bool LingeringCloses::ClosingConnection::discardInput() {
     char some[16 * 1024];
     const ssize_t got = recv(bufferevent_getfd(connection.get()), some, sizeof some, MSG_DONTWAIT);
     if (got == 0) return false;
     if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
     if (droppedBytes == 0) owner.counters_.add("client_bytes_dropped");
     droppedBytes += static_cast<std::size_t>(got);
-    return droppedBytes < owner.limits_.lingerBytes;
+    return droppedBytes < owner.limits_.maxLingerBytes;
 }
 
-void LingeringCloses::take(HeldBuffers connection) {
+void LingeringCloses::add(BuffereventRef connection) {
     if (!connection || bufferevent_getfd(connection.get()) < 0) return;
     bufferevent_disable(connection.get(), EV_READ | EV_WRITE);
-    if (closing_.size() >= limits_.lingering) closing_.pop_front();
+    if (closing_.size() >= limits_.maxLingeringConnections) closing_.pop_front();
     closing_.emplace_back(*this, std::move(connection));
 }
 
-bool LingeringCloses::delivered() const {
-    return std::all_of(closing_.begin(), closing_.end(), [](const Closing& closing) {
+bool LingeringCloses::allDelivered() const {
+    return std::all_of(closing_.begin(), closing_.end(), [](const ClosingConnection& closing) {
         return unacknowledged(bufferevent_getfd(closing.connection.get())) == 0;
     });
 }
 
-void LingeringCloses::remove(const Closing& closing) {
-    closing_.remove_if([&](const Closing& c) { return &c == &closing; });
+void LingeringCloses::remove(const ClosingConnection& closing) {
+    closing_.remove_if([&](const ClosingConnection& c) { return &c == &closing; });
 }
 
 }  // namespace martencove
--- a/src/net/lingering_closes.h
+++ b/src/net/lingering_closes.h
@@ -22,33 +22,33 @@
 
     /// Ends the sending on a connection all of whose answers are written, and takes care of its close. At the
     /// bound on connections the one that has lingered longest is closed at once.
-    void take(HeldBuffers connection);
+    void add(BuffereventRef connection);
     /// Whether all that was sent has arrived at the clients' machines.
-    [[nodiscard]] bool delivered() const;
+    [[nodiscard]] bool allDelivered() const;
     [[nodiscard]] std::size_t size() const { return closing_.size(); }
 
 private:
-    struct Closing {
-        Closing(LingeringCloses& o, HeldBuffers c);
-        static void happened(evutil_socket_t, short what, void* closing);
+    struct ClosingConnection {
+        ClosingConnection(LingeringCloses& o, BuffereventRef c);
+        static void onEvent(evutil_socket_t, short what, void* closing);
         /// Reads and drops what has come; false: the connection is over.
-        [[nodiscard]] bool drop();
+        [[nodiscard]] bool discardInput();
         /// Waits for the next bytes, for what is left of its time.
-        void wait();
+        void waitForInput();
 
         LingeringCloses& owner;
-        HeldBuffers connection;
-        double untilMs;
+        BuffereventRef connection;
+        double deadlineMs;
         std::size_t droppedBytes = 0;
-        Owned<event> readable;
+        LibeventPtr<event> readEvent;
     };
-    void remove(const Closing& closing);
+    void remove(const ClosingConnection& closing);
 
     event_base* base_;
     const Limits& limits_;
     Counters& counters_;
     const Clock clock_;
-    std::list<Closing> closing_;  // the longest lingering first
+    std::list<ClosingConnection> closing_;  // the longest lingering first
 };
 
 }  // namespace martencove
--- a/src/net/link_pool.h
+++ b/src/net/link_pool.h
@@ -20,265 +20,276 @@
 namespace martencove {
 
 template <typename Wire>
-class LinkPool;
+class NodeConnectionPool;
 
 /// Work on its way. Letting go of it gives it up and closes its connection.
 template <typename Wire>
-class Exchange {
+class InFlightRequest {
 public:
-    Exchange(std::unique_ptr<Wire> link, LinkPool<Wire>& pool) : link_(std::move(link)), pool_(pool) {}
-    ~Exchange() {
-        if (link_) pool_.giveUp(*this);
+    InFlightRequest(std::unique_ptr<Wire> link, NodeConnectionPool<Wire>& pool)
+        : connection_(std::move(link)), pool_(pool) {}
+    ~InFlightRequest() {
+        if (connection_) pool_.cancelRequest(*this);
     }
-    Exchange(const Exchange&) = delete;
-    Exchange& operator=(const Exchange&) = delete;
+    InFlightRequest(const InFlightRequest&) = delete;
+    InFlightRequest& operator=(const InFlightRequest&) = delete;
     /// Whether a byte of the work has left.
-    [[nodiscard]] bool begun() const { return link_ && link_->begun(); }
+    [[nodiscard]] bool hasSentBytes() const { return connection_ && connection_->hasSentBytes(); }
     /// Whether what the node sends is read.
-    void flow(bool on) {
-        if (link_) link_->flow(on);
+    void setReading(bool on) {
+        if (connection_) connection_->setReading(on);
     }
 
 private:
-    friend class LinkPool<Wire>;
-    std::unique_ptr<Wire> link_;
-    LinkPool<Wire>& pool_;
+    friend class NodeConnectionPool<Wire>;
+    std::unique_ptr<Wire> connection_;
+    NodeConnectionPool<Wire>& pool_;
 };
 
 /// Gives up an attempt of which no byte has left, among those on their way; false: it is not there, or has
 /// begun.
 template <typename Way>
-[[nodiscard]] bool withdrawFrom(std::map<int, std::unique_ptr<Way>>& ways, int attempt) {
+[[nodiscard]] bool eraseIfUnsent(std::map<int, std::unique_ptr<Way>>& ways, int attempt) {
     const auto at = ways.find(attempt);
-    if (at == ways.end() || at->second->begun()) return false;
+    if (at == ways.end() || at->second->hasSentBytes()) return false;
     ways.erase(at);
     return true;
 }
 
 template <typename Wire>
-class LinkPool {
+class NodeConnectionPool {
 public:
-    using Done = std::function<void(Reply)>;
+    using DoneCallback = std::function<void(NodeReply)>;
 
-    LinkPool(event_base* base, const Clock& clock, const Limits& limits, Counters& counters)
+    NodeConnectionPool(event_base* base, const Clock& clock, const Limits& limits, Counters& counters)
         : base_(base),
           clock_(clock),
           limits_(limits),
           counters_(counters),
-          sweep_(base, [this] { sweep(); }),
-          rested_(base,
-                  [this] {
-                      restedRuns_ = false;
-                      if constexpr (Wire::kDialsWithoutWork) serveWaiting();
-                  }),
-          again_(base,
-                 [this] {
-                     if constexpr (Wire::kDialsWithoutWork) dialAgain();
-                 }),
-          empty_(base, [this] { waste_.clear(); }) {
-        sweep_.start(limits_.sweepMs);
+          sweepTimer_(base, [this] { sweep(); }),
+          reuseDelayTimer_(base,
+                           [this] {
+                               reuseDelayTimerRunning_ = false;
+                               if constexpr (Wire::kCanPreconnect) servePending();
+                           }),
+          secondConnectTimer_(base,
+                              [this] {
+                                  if constexpr (Wire::kCanPreconnect) startSecondConnects();
+                              }),
+          discardTimer_(base, [this] { discarded_.clear(); }) {
+        sweepTimer_.start(limits_.sweepIntervalMs);
     }
-    LinkPool(const LinkPool&) = delete;
-    LinkPool& operator=(const LinkPool&) = delete;
+    NodeConnectionPool(const NodeConnectionPool&) = delete;
+    NodeConnectionPool& operator=(const NodeConnectionPool&) = delete;
 
     /// `done` is called once, from the loop, unless the exchange is let go first. It may let go of it itself.
     /// Nothing where no more connections are allowed.
-    [[nodiscard]] std::unique_ptr<Exchange<Wire>> send(const Address& node, const typename Wire::Work& work,
-                                                       const AttemptTimes& times, Done done) {
-        std::unique_ptr<Wire> link = idleFor(node, work);
+    [[nodiscard]] std::unique_ptr<InFlightRequest<Wire>> send(const Address& node,
+                                                              const typename Wire::Work& work,
+                                                              const AttemptTimeouts& times,
+                                                              DoneCallback done) {
+        std::unique_ptr<Wire> link = takeIdle(node, work);
         const bool dials = !link;
-        if (dials) link = open(node, work);
+        if (dials) link = openConnection(node, work);
         if (!link) return nullptr;
         Wire& started = *link;
-        auto exchange = std::make_unique<Exchange<Wire>>(std::move(link), *this);
+        auto exchange = std::make_unique<InFlightRequest<Wire>>(std::move(link), *this);
         started.start(work, times,
-                      [this, out = exchange.get(), done = std::move(done)](Link&, Reply reply, bool keep) {
-                          waitsNoMore(*out);
-                          take(std::move(out->link_), keep);
+                      [this, out = exchange.get(), done = std::move(done)](NodeConnection&, NodeReply reply,
+                                                                           bool keep) {
+                          removePending(*out);
+                          releaseConnection(std::move(out->connection_), keep);
                           done(std::move(reply));
                       });
-        if constexpr (Wire::kDialsWithoutWork) {
-            if (dials) wait(*exchange);
+        if constexpr (Wire::kCanPreconnect) {
+            if (dials) addPending(*exchange);
         }
         return exchange;
     }
 
 private:
-    friend class Exchange<Wire>;
-    struct Idle {
-        std::unique_ptr<Wire> link;
-        double sinceMs = 0;
+    friend class InFlightRequest<Wire>;
+    struct IdleConnection {
+        std::unique_ptr<Wire> connection;
+        double idleSinceMs = 0;
     };
-    using Place = typename std::list<Idle>::iterator;
-    struct Waiting {
-        Exchange<Wire>* exchange;
-        double againMs = 0;  // when a second connection is dialled
-        bool again = false;  // it is
+    using IdleIterator = typename std::list<IdleConnection>::iterator;
+    struct PendingRequest {
+        InFlightRequest<Wire>* request;
+        double secondConnectAtMs = 0;       // when a second connection is dialled
+        bool secondConnectStarted = false;  // it is
     };
 
     // Nothing where no more connections are allowed.
-    std::unique_ptr<Wire> open(const Address& node, const typename Wire::Work& work) {
-        if (links_ >= limits_.nodeConnections) giveWay();
-        if (links_ >= limits_.nodeConnections) return nullptr;
-        ++links_;
-        counters_.add(Wire::kOpened);
+    std::unique_ptr<Wire> openConnection(const Address& node, const typename Wire::Work& work) {
+        if (connectionCount_ >= limits_.maxNodeConnections) evictOldest();
+        if (connectionCount_ >= limits_.maxNodeConnections) return nullptr;
+        ++connectionCount_;
+        counters_.add(Wire::kOpenedCounter);
         return std::make_unique<Wire>(base_, node, work, limits_, counters_);
     }
 
-    void wait(Exchange<Wire>& exchange) {
-        if (waiting_.empty()) again_.start(limits_.dialAgainMs);
-        waiting_.push_back({&exchange, clock_.nowMs() + limits_.dialAgainMs});
+    void addPending(InFlightRequest<Wire>& exchange) {
+        if (pendingRequests_.empty()) secondConnectTimer_.start(limits_.secondConnectDelayMs);
+        pendingRequests_.push_back({&exchange, clock_.nowMs() + limits_.secondConnectDelayMs});
     }
 
-    void giveUp(Exchange<Wire>& exchange) {
-        waitsNoMore(exchange);
-        discard(std::move(exchange.link_));
+    void cancelRequest(InFlightRequest<Wire>& exchange) {
+        removePending(exchange);
+        discard(std::move(exchange.connection_));
     }
 
-    void waitsNoMore(const Exchange<Wire>& exchange) {
-        std::erase_if(waiting_, [&](const Waiting& w) { return w.exchange == &exchange; });
+    void removePending(const InFlightRequest<Wire>& exchange) {
+        std::erase_if(pendingRequests_, [&](const PendingRequest& w) { return w.request == &exchange; });
     }
-    void forgetThoseUp() {
-        std::erase_if(waiting_, [](const Waiting& w) { return w.exchange->link_->up(); });
+    void removeConnectedPending() {
+        std::erase_if(pendingRequests_,
+                      [](const PendingRequest& w) { return w.request->connection_->isConnected(); });
     }
 
     // Once one that has just done its work has rested. The timer runs on where it runs: it looks again
     // itself.
-    void serveRested() {
-        if (!std::exchange(restedRuns_, true)) rested_.start(limits_.nodeRestMs);
+    void scheduleServePending() {
+        if (!std::exchange(reuseDelayTimerRunning_, true)) reuseDelayTimer_.start(limits_.nodeReuseDelayMs);
     }
 
     // Those whose connection is not up yet, the longest waiting first, get what is idle.
-    void serveWaiting() {
-        forgetThoseUp();
-        for (auto at = waiting_.begin(); at != waiting_.end();) {
-            Exchange<Wire>& exchange = *at->exchange;
-            std::unique_ptr<Wire> idle = idleFor(exchange.link_->node(), exchange.link_->waiting());
+    void servePending() {
+        removeConnectedPending();
+        for (auto at = pendingRequests_.begin(); at != pendingRequests_.end();) {
+            InFlightRequest<Wire>& exchange = *at->request;
+            std::unique_ptr<Wire> idle =
+                takeIdle(exchange.connection_->address(), exchange.connection_->pendingRequest());
             if (!idle) {
                 ++at;
                 continue;
             }
-            at = waiting_.erase(at);
+            at = pendingRequests_.erase(at);
             counters_.add("node_connection_other");
-            std::unique_ptr<Wire> late = std::exchange(exchange.link_, std::move(idle));
-            late->passTo(*exchange.link_);
-            expect(std::move(late));
+            std::unique_ptr<Wire> late = std::exchange(exchange.connection_, std::move(idle));
+            late->transferRequest(*exchange.connection_);
+            preconnect(std::move(late));
         }
-        if (!waiting_.empty() && !idle_.empty() && idle_.back().sinceMs > clock_.nowMs() - limits_.nodeRestMs)
-            serveRested();
+        if (!pendingRequests_.empty() && !idleConnections_.empty() &&
+            idleConnections_.back().idleSinceMs > clock_.nowMs() - limits_.nodeReuseDelayMs)
+            scheduleServePending();
     }
 
     // A connection that takes longer than usual may be one of those that come up late, or never.
-    void dialAgain() {
-        forgetThoseUp();
+    void startSecondConnects() {
+        removeConnectedPending();
         const double now = clock_.nowMs();
-        for (Waiting& w : waiting_) {
-            if (w.again) continue;
-            if (w.againMs > now) return again_.start(w.againMs - now);
-            w.again = true;
-            const Wire& late = *w.exchange->link_;
-            auto link = links_ < limits_.nodeConnections ? open(late.node(), late.waiting()) : nullptr;
+        for (PendingRequest& w : pendingRequests_) {
+            if (w.secondConnectStarted) continue;
+            if (w.secondConnectAtMs > now) return secondConnectTimer_.start(w.secondConnectAtMs - now);
+            w.secondConnectStarted = true;
+            const Wire& late = *w.request->connection_;
+            auto link = connectionCount_ < limits_.maxNodeConnections
+                            ? openConnection(late.address(), late.pendingRequest())
+                            : nullptr;
             if (!link) continue;
             counters_.add("node_connection_again");
-            expect(std::move(link));
+            preconnect(std::move(link));
         }
-        if (!waiting_.empty()) again_.start(limits_.dialAgainMs);
+        if (!pendingRequests_.empty()) secondConnectTimer_.start(limits_.secondConnectDelayMs);
     }
 
     // It comes up without work.
-    void expect(std::unique_ptr<Wire> link) {
+    void preconnect(std::unique_ptr<Wire> link) {
         Wire* const at = link.get();
-        coming_.push_back(std::move(link));
-        at->dial([this, at](bool up) {
-            const auto here = std::find_if(coming_.begin(), coming_.end(),
+        preconnecting_.push_back(std::move(link));
+        at->preconnect([this, at](bool up) {
+            const auto here = std::find_if(preconnecting_.begin(), preconnecting_.end(),
                                            [at](const auto& coming) { return coming.get() == at; });
             std::unique_ptr<Wire> come = std::move(*here);
-            coming_.erase(here);
+            preconnecting_.erase(here);
             if (!up) return discard(std::move(come));
             // Nothing was sent on it that could be answered late.
-            keep(std::move(come), clock_.nowMs() - limits_.nodeRestMs);
-            serveWaiting();
+            addIdle(std::move(come), clock_.nowMs() - limits_.nodeReuseDelayMs);
+            servePending();
         });
     }
 
     // The one used last, so that the others may fall idle and be retired; but not at once: what a node sends
     // behind an answer may come a moment after it.
-    std::unique_ptr<Wire> idleFor(const Address& node, const typename Wire::Work& work) {
-        const auto ours = byNode_.find(node);
-        if (ours == byNode_.end()) return nullptr;
-        const double rested = clock_.nowMs() - limits_.nodeRestMs;
+    std::unique_ptr<Wire> takeIdle(const Address& node, const typename Wire::Work& work) {
+        const auto ours = idleByAddress_.find(node);
+        if (ours == idleByAddress_.end()) return nullptr;
+        const double rested = clock_.nowMs() - limits_.nodeReuseDelayMs;
         for (auto at = ours->second.rbegin(); at != ours->second.rend(); ++at) {
-            const Place idle = *at;
-            if (idle->sinceMs > rested || !idle->link->fits(node, work) || !idle->link->usable()) continue;
-            return forget(idle);
+            const IdleIterator idle = *at;
+            if (idle->idleSinceMs > rested || !idle->connection->matches(node, work) ||
+                !idle->connection->isUsable())
+                continue;
+            return removeIdle(idle);
         }
         return nullptr;
     }
 
-    void take(std::unique_ptr<Wire> link, bool keep) {
+    void releaseConnection(std::unique_ptr<Wire> link, bool keep) {
         if (!keep) return discard(std::move(link));
-        this->keep(std::move(link), clock_.nowMs());
-        if (!waiting_.empty()) serveRested();
+        this->addIdle(std::move(link), clock_.nowMs());
+        if (!pendingRequests_.empty()) scheduleServePending();
     }
 
-    void keep(std::unique_ptr<Wire> link, double sinceMs) {
-        const Address node = link->node();
-        idle_.push_back({std::move(link), sinceMs});
-        byNode_[node].push_back(std::prev(idle_.end()));
+    void addIdle(std::unique_ptr<Wire> link, double sinceMs) {
+        const Address node = link->address();
+        idleConnections_.push_back({std::move(link), sinceMs});
+        idleByAddress_[node].push_back(std::prev(idleConnections_.end()));
     }
 
-    std::unique_ptr<Wire> forget(Place idle) {
-        std::unique_ptr<Wire> link = std::move(idle->link);
-        const auto ours = byNode_.find(link->node());
+    std::unique_ptr<Wire> removeIdle(IdleIterator idle) {
+        std::unique_ptr<Wire> link = std::move(idle->connection);
+        const auto ours = idleByAddress_.find(link->address());
         std::erase(ours->second, idle);
-        if (ours->second.empty()) byNode_.erase(ours);
-        idle_.erase(idle);
+        if (ours->second.empty()) idleByAddress_.erase(ours);
+        idleConnections_.erase(idle);
         return link;
     }
 
     // Gives the connection up. It is closed from the loop's next turn, since this may be its own callback.
     void discard(std::unique_ptr<Wire> link) {
-        link->stop();
-        --links_;
-        waste_.push_back(std::move(link));
-        empty_.start(0);
+        link->cancel();
+        --connectionCount_;
+        discarded_.push_back(std::move(link));
+        discardTimer_.start(0);
     }
 
     // At the bound the connection that has been idle longest goes.
-    void giveWay() {
-        if (!idle_.empty()) return discard(forget(idle_.begin()));
-        if (coming_.empty()) return;
-        std::unique_ptr<Wire> first = std::move(coming_.front());
-        coming_.pop_front();
+    void evictOldest() {
+        if (!idleConnections_.empty()) return discard(removeIdle(idleConnections_.begin()));
+        if (preconnecting_.empty()) return;
+        std::unique_ptr<Wire> first = std::move(preconnecting_.front());
+        preconnecting_.pop_front();
         discard(std::move(first));
     }
 
     // The nodes close idle connections; one that is used just then would end as broken.
     void sweep() {
-        const double before = clock_.nowMs() - limits_.nodeIdleMs * limits_.idlePart;
-        for (Place idle = idle_.begin(); idle != idle_.end();) {
-            const Place now = idle++;
-            if (now->link->closed() || now->sinceMs < before) discard(forget(now));
+        const double before = clock_.nowMs() - limits_.nodeIdleTimeoutMs * limits_.idleRetireFraction;
+        for (IdleIterator idle = idleConnections_.begin(); idle != idleConnections_.end();) {
+            const IdleIterator now = idle++;
+            if (now->connection->isClosed() || now->idleSinceMs < before) discard(removeIdle(now));
         }
-        sweep_.start(limits_.sweepMs);
+        sweepTimer_.start(limits_.sweepIntervalMs);
     }
 
     event_base* base_;
     const Clock& clock_;
     const Limits& limits_;
     Counters& counters_;
-    std::list<Idle> idle_;  // longest idle first
+    std::list<IdleConnection> idleConnections_;  // longest idle first
     // The same by node, so that a send looks at its node's alone; no entry is empty.
-    std::unordered_map<Address, std::vector<Place>, AddressHash> byNode_;
-    std::list<Waiting> waiting_;                // whose connection is not up, the longest waiting first
-    std::list<std::unique_ptr<Wire>> coming_;   // without work, oldest first
-    std::vector<std::unique_ptr<Wire>> waste_;  // freed from the loop, never from their own callbacks
-    std::size_t links_ = 0;
-    Timer sweep_;
-    Timer rested_;
-    bool restedRuns_ = false;
-    Timer again_;
-    Timer empty_;
+    std::unordered_map<Address, std::vector<IdleIterator>, AddressHash> idleByAddress_;
+    std::list<PendingRequest> pendingRequests_;       // whose connection is not up, the longest waiting first
+    std::list<std::unique_ptr<Wire>> preconnecting_;  // without work, oldest first
+    std::vector<std::unique_ptr<Wire>> discarded_;    // freed from the loop, never from their own callbacks
+    std::size_t connectionCount_ = 0;
+    Timer sweepTimer_;
+    Timer reuseDelayTimer_;
+    bool reuseDelayTimerRunning_ = false;
+    Timer secondConnectTimer_;
+    Timer discardTimer_;
 };
 
 }  // namespace martencove
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -21,50 +21,52 @@
     });
 }
 
-std::string textOf(const LogField& field, LogForm form) {
+std::string textOf(const LogField& field, LogFormat form) {
     if (const auto* number = std::get_if<std::int64_t>(&field.value)) return std::to_string(*number);
     const auto& text = std::get<std::string>(field.value);
-    return form == LogForm::text && plain(text) ? text : quoted(text);
+    return form == LogFormat::text && plain(text) ? text : quoted(text);
 }
 
 }  // namespace
 
-Log::Log(const Clock& clock, const Limits& limits, LogForm form)
-    : clock_(clock), most_(limits.logLinesPerSecond), form_(form) {
-    spdlog::set_pattern(form == LogForm::json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l",%v})"
-                                              : "[%Y-%m-%d %H:%M:%S.%e] [%l] %v");
+Log::Log(const Clock& clock, const Limits& limits, LogFormat form)
+    : clock_(clock), maxLinesPerSecond_(limits.maxLogLinesPerSecond), format_(form) {
+    spdlog::set_pattern(form == LogFormat::json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l",%v})"
+                                                : "[%Y-%m-%d %H:%M:%S.%e] [%l] %v");
 }
 
-std::string Log::line(const std::string& part, const std::string& message, const LogFields& fields) const {
-    const bool json = form_ == LogForm::json;
+std::string Log::formatLine(const std::string& part, const std::string& message,
+                            const LogFields& fields) const {
+    const bool json = format_ == LogFormat::json;
     std::string out =
         json ? "\"part\":" + quoted(part) + ",\"message\":" + quoted(message) : part + ": " + message;
     for (const LogField& field : fields)
-        out += (json ? ',' + quoted(field.key) + ':' : ' ' + field.key + '=') + textOf(field, form_);
+        out += (json ? ',' + quoted(field.key) + ':' : ' ' + field.key + '=') + textOf(field, format_);
     return out;
 }
 
 void Log::info(const std::string& part, const std::string& message, const LogFields& fields) const {
-    spdlog::info("{}", line(part, message, fields));
+    spdlog::info("{}", formatLine(part, message, fields));
 }
 
-bool Log::room(const std::string& part) {
-    Part& p = parts_[part];
+bool Log::allowLine(const std::string& part) {
+    RateWindow& p = rateWindows_[part];
     const double now = clock_.nowMs();
-    if (now - p.sinceMs >= 1000) {
-        if (p.lines > most_)
-            spdlog::warn("{}", line(part, "more lines left out", {{"lines", p.lines - most_}}));
+    if (now - p.startMs >= 1000) {
+        if (p.lineCount > maxLinesPerSecond_)
+            spdlog::warn(
+                "{}", formatLine(part, "more lines left out", {{"lines", p.lineCount - maxLinesPerSecond_}}));
         p = {now, 0};
     }
-    return ++p.lines <= most_;
+    return ++p.lineCount <= maxLinesPerSecond_;
 }
 
 void Log::warn(const std::string& part, const std::string& message, const LogFields& fields) {
-    if (room(part)) spdlog::warn("{}", line(part, message, fields));
+    if (allowLine(part)) spdlog::warn("{}", formatLine(part, message, fields));
 }
 
-void Log::tell(const std::string& part, const std::string& message, const LogFields& fields) {
-    if (room(part)) spdlog::info("{}", line(part, message, fields));
+void Log::infoRateLimited(const std::string& part, const std::string& message, const LogFields& fields) {
+    if (allowLine(part)) spdlog::info("{}", formatLine(part, message, fields));
 }
 
 }  // namespace martencove
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -15,7 +15,7 @@
 
 namespace martencove {
 
-enum class LogForm { text, json };
+enum class LogFormat { text, json };
 
 struct LogField {
     std::string key;
@@ -34,26 +34,26 @@
 /// alone, where no byte of it can look like a line of its own.
 class Log {
 public:
-    Log(const Clock& clock, const Limits& limits, LogForm form);
+    Log(const Clock& clock, const Limits& limits, LogFormat form);
 
     void info(const std::string& part, const std::string& message, const LogFields& fields = {}) const;
     void warn(const std::string& part, const std::string& message, const LogFields& fields = {});
     /// What others cause and nobody has to look after: bounded with the warnings of its part.
-    void tell(const std::string& part, const std::string& message, const LogFields& fields);
+    void infoRateLimited(const std::string& part, const std::string& message, const LogFields& fields);
 
 private:
-    [[nodiscard]] bool room(const std::string& part);
-    [[nodiscard]] std::string line(const std::string& part, const std::string& message,
-                                   const LogFields& fields) const;
+    [[nodiscard]] bool allowLine(const std::string& part);
+    [[nodiscard]] std::string formatLine(const std::string& part, const std::string& message,
+                                         const LogFields& fields) const;
 
-    struct Part {
-        double sinceMs = 0;
-        std::size_t lines = 0;
+    struct RateWindow {
+        double startMs = 0;
+        std::size_t lineCount = 0;
     };
     const Clock& clock_;
-    std::size_t most_;
-    LogForm form_;
-    std::map<std::string, Part> parts_;
+    std::size_t maxLinesPerSecond_;
+    LogFormat format_;
+    std::map<std::string, RateWindow> rateWindows_;
 };
 
 }  // namespace martencove
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -14,56 +14,56 @@
 void callBack(evutil_socket_t, short, void* arg) { (*static_cast<std::function<void()>*>(arg))(); }
 
 template <typename Handle>
-Owned<Handle> owned(Handle* handle) {
+LibeventPtr<Handle> owned(Handle* handle) {
     if (handle == nullptr) throw std::bad_alloc();
-    return Owned<Handle>(handle);
+    return LibeventPtr<Handle>(handle);
 }
 
 }  // namespace
 
-Owned<event_base> makeBase() {
+LibeventPtr<event_base> makeEventBase() {
     const std::unique_ptr<event_config, decltype(&event_config_free)> config(event_config_new(),
                                                                              &event_config_free);
     // Without it a timer is up to 1 ms late, which each attempt's and each round's end would add up.
     event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
-    Owned<event_base> base = owned(event_base_new_with_config(config.get()));
-    event_base_priority_init(base.get(), kPriorities);
+    LibeventPtr<event_base> base = owned(event_base_new_with_config(config.get()));
+    event_base_priority_init(base.get(), kPriorityCount);
     return base;
 }
 
-HeldBuffers heldBuffers(event_base* base) {
+BuffereventRef newBufferevent(event_base* base) {
     bufferevent* buffers = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
-    return buffers == nullptr ? nullptr : referenceTo(buffers);
+    return buffers == nullptr ? nullptr : addReference(buffers);
 }
 
-HeldBuffers referenceTo(bufferevent* buffers) {
+BuffereventRef addReference(bufferevent* buffers) {
     bufferevent_incref(buffers);
-    return HeldBuffers(buffers);
+    return BuffereventRef(buffers);
 }
 
-bool letGo(bufferevent* buffers) {
+bool closedByEvhttp(bufferevent* buffers) {
     bufferevent_event_cb onEvent = nullptr;
     bufferevent_getcb(buffers, nullptr, nullptr, &onEvent, nullptr);
     return onEvent == nullptr;
 }
 
-void sendAtOnce(evutil_socket_t fd) {
+void setTcpNoDelay(evutil_socket_t fd) {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
 Timer::Timer(event_base* base, std::function<void()> then)
-    : then_(std::move(then)), event_(owned(evtimer_new(base, callBack, &then_))) {}
+    : callback_(std::move(then)), event_(owned(evtimer_new(base, callBack, &callback_))) {}
 
 void Timer::start(double ms) {
-    const timeval after = timevalOf(std::max(ms, 0.0));
+    const timeval after = toTimeval(std::max(ms, 0.0));
     evtimer_add(event_.get(), &after);
 }
 
 void Timer::stop() { evtimer_del(event_.get()); }
 
-SignalWatch::SignalWatch(event_base* base, int signal, std::function<void()> then)
-    : then_(std::move(then)), event_(owned(evsignal_new(base, signal, callBack, &then_))) {
+SignalHandler::SignalHandler(event_base* base, int signal, std::function<void()> then)
+    : callback_(std::move(then)), event_(owned(evsignal_new(base, signal, callBack, &callback_))) {
     // What libevent puts back when the watch is gone: a signal that is repeated while the program takes
     // itself down must not end it in the middle, as the default action would.
     std::signal(signal, SIG_IGN);
--- a/src/net/node_list.cpp
+++ b/src/net/node_list.cpp
@@ -13,7 +13,7 @@
 using namespace limedrum::fields;
 
 // FNV-1a, folded to 32 bits.
-NodeId nodeIdOf(const std::string& name) {
+NodeId nodeIdFromName(const std::string& name) {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
     return static_cast<std::uint32_t>(hash ^ (hash >> 32));
@@ -23,15 +23,16 @@
 
 NodeEntry nodeEntry(const Json& entry) {
     NodeEntry node;
-    node.name = text(need(entry, "host"), "host");
-    node.id = nodeIdOf(node.name);
-    node.shard = small(need(entry, "block"), "block");
-    node.state = word<NodeState>(
-        text(need(entry, "health"), "health"), "health",
+    node.name = getString(requireField(entry, "host"), "host");
+    node.id = nodeIdFromName(node.name);
+    node.shard = getInt(requireField(entry, "block"), "block");
+    node.state = parseEnum<NodeState>(
+        getString(requireField(entry, "health"), "health"), "health",
         {{"ready", NodeState::ready}, {"draining", NodeState::draining}, {"gone", NodeState::gone}});
-    node.dial = text(entry, "dial", "");
-    if (node.state != NodeState::gone && !parseAddress(node.dial)) complain("dial", "not an address");
-    node.bornMs = number(entry, "born_ms", 0.0);
+    node.address = getString(entry, "dial", "");
+    if (node.state != NodeState::gone && !parseAddress(node.address))
+        throwFieldError("dial", "not an address");
+    node.bootTimeMs = getNumber(entry, "born_ms", 0.0);
     return node;
 }
 
@@ -39,30 +40,30 @@
 std::optional<NodeEntry> leavingEntry(const Json& entry) {
     if (!entry.is_object()) return std::nullopt;
     const auto said = [&](const char* name) {
-        const Json* value = find(entry, name);
+        const Json* value = findField(entry, name);
         return value != nullptr && value->is_string() ? value->get<std::string>() : std::string();
     };
     const auto figure = [&](const char* name, double otherwise) {
-        const Json* value = find(entry, name);
+        const Json* value = findField(entry, name);
         return value != nullptr && value->is_number() ? value->get<double>() : otherwise;
     };
     const std::string health = said("health");
     if (said("host").empty() || (health != "draining" && health != "gone")) return std::nullopt;
     NodeEntry node;
     node.name = said("host");
-    node.id = nodeIdOf(node.name);
+    node.id = nodeIdFromName(node.name);
     const double shard = figure("block", -1);  // -1: not told
     node.shard = shard >= 0 && shard <= INT32_MAX ? static_cast<int>(shard) : -1;
     // Without an address nothing could be sent to it again.
     node.state = health == "gone" || !parseAddress(said("dial")) ? NodeState::gone : NodeState::draining;
-    node.dial = said("dial");
-    node.bornMs = figure("born_ms", 0);
+    node.address = said("dial");
+    node.bootTimeMs = figure("born_ms", 0);
     return node;
 }
 
 Json parsed(const std::string& content) {
     Json json = Json::parse(content, nullptr, false);
-    if (!json.is_object()) complain("list", "not a JSON object");
+    if (!json.is_object()) throwFieldError("list", "not a JSON object");
     return json;
 }
 
@@ -72,33 +73,33 @@
 
 NodeList decodeNodeList(const Json& json) {
     NodeList out;
-    out.version = whole(need(json, "seq"), "seq");
-    out.whole = truth(need(json, "whole"), "whole");
+    out.version = getInt64(requireField(json, "seq"), "seq");
+    out.isSnapshot = getBool(requireField(json, "whole"), "whole");
     std::set<NodeId> seen;
-    for (const Json& entry : list(need(json, "hosts"), "hosts")) {
+    for (const Json& entry : getArray(requireField(json, "hosts"), "hosts")) {
         out.nodes.push_back(nodeEntry(entry));
-        if (!seen.insert(out.nodes.back().id).second) complain("host", "named twice");
+        if (!seen.insert(out.nodes.back().id).second) throwFieldError("host", "named twice");
     }
     return out;
 }
 
-ReadList readNodeList(const std::string& text) {
-    ReadList out;
+DecodedNodeList decodeNodeListLenient(const std::string& text) {
+    DecodedNodeList out;
     out.list.version = -1;
     const auto wrong = [&](const std::string& what) {
-        if (out.reason.empty()) out.reason = what;
+        if (out.firstError.empty()) out.firstError = what;
     };
     const auto take = [&](const Json& entry) {
         try {
             out.list.nodes.push_back(nodeEntry(entry));
         } catch (const FieldError& error) {
-            ++out.bad;
+            ++out.invalidEntryCount;
             wrong(error.what());
             if (const auto leaving = leavingEntry(entry))
                 out.list.nodes.push_back(*leaving);
-            else if (const Json* name = entry.is_object() ? find(entry, "host") : nullptr;
+            else if (const Json* name = entry.is_object() ? findField(entry, "host") : nullptr;
                      name && name->is_string())
-                out.unreadable.push_back(nodeIdOf(name->get<std::string>()));
+                out.unreadableIds.push_back(nodeIdFromName(name->get<std::string>()));
         }
     };
     // Entries are taken as they end, so that of a text that is cut off those before the cut are known. A
@@ -122,16 +123,16 @@
     };
     const Json json = Json::parse(text, parsedOne, false);
     try {
-        if (!json.is_object()) complain("list", "not a JSON object");
-        out.list.version = whole(need(json, "seq"), "seq");
-        out.list.whole = truth(need(json, "whole"), "whole");
-        const Json& left = list(need(json, "hosts"), "hosts");  // what is no object
-        out.bad += left.size();
+        if (!json.is_object()) throwFieldError("list", "not a JSON object");
+        out.list.version = getInt64(requireField(json, "seq"), "seq");
+        out.list.isSnapshot = getBool(requireField(json, "whole"), "whole");
+        const Json& left = getArray(requireField(json, "hosts"), "hosts");  // what is no object
+        out.invalidEntryCount += left.size();
         if (!left.empty()) wrong("hosts: an entry that is no object");
     } catch (const FieldError& error) {
         wrong(error.what());
-        out.broken = true;
-        out.list.whole = false;
+        out.isMalformed = true;
+        out.list.isSnapshot = false;
         if (out.list.version < 0) out.list.version = numberBefore("\"seq\"").value_or(-1);
         std::erase_if(out.list.nodes, [](const NodeEntry& n) { return n.state == NodeState::ready; });
     }
--- a/src/net/node_list.h
+++ b/src/net/node_list.h
@@ -10,7 +10,7 @@
 namespace martencove {
 
 /// The same number for a node on every scheduler: peers speak of nodes by it.
-[[nodiscard]] NodeId nodeIdOf(const std::string& name);
+[[nodiscard]] NodeId nodeIdFromName(const std::string& name);
 
 /// One entry of a list.
 [[nodiscard]] NodeEntry decodeNodeEntry(const std::string& text);
@@ -19,14 +19,14 @@
 [[nodiscard]] NodeList decodeNodeList(const nlohmann::json& json);
 
 /// What can be read of a list that may be spoilt or cut off.
-struct ReadList {
-    NodeList list;                   ///< the entries that can be read; of version -1: none is told
-    std::vector<NodeId> unreadable;  ///< nodes that are named, but whose entries make no sense
-    std::size_t bad = 0;             ///< entries that make no sense
-    bool broken = false;             ///< it is no whole list: of its entries only leaving nodes are kept
-    std::string reason;              ///< the first that was found wrong
+struct DecodedNodeList {
+    NodeList list;                      ///< the entries that can be read; of version -1: none is told
+    std::vector<NodeId> unreadableIds;  ///< nodes that are named, but whose entries make no sense
+    std::size_t invalidEntryCount = 0;  ///< entries that make no sense
+    bool isMalformed = false;           ///< it is no whole list: of its entries only leaving nodes are kept
+    std::string firstError;             ///< the first that was found wrong
 };
 /// Never throws: of a node that leaves, its name and that word are enough.
-[[nodiscard]] ReadList readNodeList(const std::string& text);
+[[nodiscard]] DecodedNodeList decodeNodeListLenient(const std::string& text);
 
 }  // namespace martencove
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -17,51 +17,56 @@
 
 }  // namespace
 
-Peers::Peers(event_base* base, const Address& listen, const std::vector<Address>& peers, const Limits& limits,
-             Counters& counters, Log& log, std::function<void(const PeerMessage&)> heard, int bound)
-    : limits_(limits), counters_(counters), log_(log), heard_(std::move(heard)) {
+PeerSocket::PeerSocket(event_base* base, const Address& listen, const std::vector<Address>& peers,
+                       const Limits& limits, Counters& counters, Log& log,
+                       std::function<void(const PeerMessage&)> heard, int bound)
+    : limits_(limits), counters_(counters), log_(log), onMessage_(std::move(heard)) {
     if (bound >= 0) {
         socket_ = bound;
     } else {
         bind(listen);
     }
-    reach(peers);
-    event_.reset(event_new(base, socket_, EV_READ | EV_PERSIST, readable, this));
-    event_add(event_.get(), nullptr);
+    setPeers(peers);
+    readEvent_.reset(event_new(base, socket_, EV_READ | EV_PERSIST, onReadable, this));
+    event_add(readEvent_.get(), nullptr);
 }
 
-void Peers::yield(bool on) { on ? event_del(event_.get()) : event_add(event_.get(), nullptr); }
+void PeerSocket::setYielded(bool on) {
+    on ? event_del(readEvent_.get()) : event_add(readEvent_.get(), nullptr);
+}
 
-void Peers::bind(const Address& listen) {
+void PeerSocket::bind(const Address& listen) {
     socket_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const sockaddr_in address = listen.socketAddress();
     if (socket_ < 0 || ::bind(socket_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
         const int error = errno;
         if (socket_ >= 0) close(socket_);
-        throw std::system_error(error, std::generic_category(), "peer_listen " + listen.text());
+        throw std::system_error(error, std::generic_category(), "peer_listen " + listen.toString());
     }
 }
 
-Peers::~Peers() {
-    event_.reset();
+PeerSocket::~PeerSocket() {
+    readEvent_.reset();
     close(socket_);
 }
 
-void Peers::reach(const std::vector<Address>& peers) {
-    peers_.clear();
-    numbers_.clear();
+void PeerSocket::setPeers(const std::vector<Address>& peers) {
+    peerAddresses_.clear();
+    peerNumberByAddress_.clear();
     for (const Address& peer : peers) {
-        numbers_.try_emplace(keyOf(peer.socketAddress()), static_cast<int>(peers_.size()));
-        peers_.push_back(peer.socketAddress());
+        peerNumberByAddress_.try_emplace(keyOf(peer.socketAddress()),
+                                         static_cast<int>(peerAddresses_.size()));
+        peerAddresses_.push_back(peer.socketAddress());
     }
-    makeRoom();
+    growReceiveBuffer();
 }
 
 // Rounds begin at the same moment everywhere, so that bids come together. The system doubles what it is asked
 // for, to cover its own use, and grants what it allows at most.
-void Peers::makeRoom() {
+void PeerSocket::growReceiveBuffer() {
     const int bytes = static_cast<int>(
-        std::min(limits_.datagramsHeld, limits_.datagramsEach * peers_.size()) * limits_.datagramCost);
+        std::min(limits_.maxQueuedDatagrams, limits_.maxQueuedDatagramsPerPeer * peerAddresses_.size()) *
+        limits_.datagramBufferCostBytes);
     int now = 0;
     socklen_t size = sizeof now;
     if (getsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &now, &size) == 0 && now >= bytes) return;
@@ -70,38 +75,39 @@
 }
 
 // A datagram that does not leave is one that the network lost: the module reckons with it.
-void Peers::tell(const PeerMessage& message) {
-    if (message.peer < 0 || message.peer >= static_cast<int>(peers_.size()) ||
-        message.text.size() > limits_.datagram) {
+void PeerSocket::send(const PeerMessage& message) {
+    if (message.peer < 0 || message.peer >= static_cast<int>(peerAddresses_.size()) ||
+        message.text.size() > limits_.maxDatagramBytes) {
         counters_.add("peer_unsent");
         return;
     }
-    const sockaddr_in& to = peers_[message.peer];
+    const sockaddr_in& to = peerAddresses_[message.peer];
     const ssize_t sent = sendto(socket_, message.text.data(), message.text.size(), MSG_DONTWAIT,
                                 reinterpret_cast<const sockaddr*>(&to), sizeof to);
     counters_.add(sent < 0 ? "peer_unsent" : "peer_sent");
 }
 
-void Peers::readable(evutil_socket_t, short, void* self) { static_cast<Peers*>(self)->receive(); }
+void PeerSocket::onReadable(evutil_socket_t, short, void* self) { static_cast<PeerSocket*>(self)->receive(); }
 
 // In one turn what is there, but at most one of each peer: then others get their turn.
-void Peers::receive() {
-    std::string text(limits_.datagram + 1, '\0');
-    const std::size_t most = std::max<std::size_t>(64, peers_.size());
+void PeerSocket::receive() {
+    std::string text(limits_.maxDatagramBytes + 1, '\0');
+    const std::size_t most = std::max<std::size_t>(64, peerAddresses_.size());
     for (std::size_t i = 0; i < most; ++i) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
         const ssize_t got =
             recvfrom(socket_, text.data(), text.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
         if (got < 0) return;
-        const auto peer = numbers_.find(keyOf(from));
-        if (peer == numbers_.end() || static_cast<std::size_t>(got) > limits_.datagram) {
+        const auto peer = peerNumberByAddress_.find(keyOf(from));
+        if (peer == peerNumberByAddress_.end() || static_cast<std::size_t>(got) > limits_.maxDatagramBytes) {
             counters_.add("peer_bad");
-            log_.warn("peer", peer == numbers_.end() ? "datagram from a stranger" : "datagram too long");
+            log_.warn("peer",
+                      peer == peerNumberByAddress_.end() ? "datagram from a stranger" : "datagram too long");
             continue;
         }
         counters_.add("peer_received");
-        heard_({peer->second, text.substr(0, static_cast<std::size_t>(got))});
+        onMessage_({peer->second, text.substr(0, static_cast<std::size_t>(got))});
     }
 }
 
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -17,39 +17,41 @@
 
 namespace martencove {
 
-class Peers {
+class PeerSocket {
 public:
     /// `bound`: a socket that is bound there already; -1: it binds one. Throws std::system_error where
     /// `listen` cannot be bound.
-    Peers(event_base* base, const Address& listen, const std::vector<Address>& peers, const Limits& limits,
-          Counters& counters, Log& log, std::function<void(const PeerMessage&)> heard, int bound = -1);
-    ~Peers();
-    Peers(const Peers&) = delete;
-    Peers& operator=(const Peers&) = delete;
+    PeerSocket(event_base* base, const Address& listen, const std::vector<Address>& peers,
+               const Limits& limits, Counters& counters, Log& log,
+               std::function<void(const PeerMessage&)> heard, int bound = -1);
+    ~PeerSocket();
+    PeerSocket(const PeerSocket&) = delete;
+    PeerSocket& operator=(const PeerSocket&) = delete;
 
     /// Another process hears what comes on the socket that both have, or no longer.
-    void yield(bool on);
+    void setYielded(bool on);
     [[nodiscard]] int descriptor() const { return socket_; }
-    void tell(const PeerMessage& message);
+    void send(const PeerMessage& message);
     /// Their addresses from now on.
-    void reach(const std::vector<Address>& peers);
+    void setPeers(const std::vector<Address>& peers);
 
 private:
-    static void readable(evutil_socket_t, short, void* self);
+    static void onReadable(evutil_socket_t, short, void* self);
     void receive();
 
     /// Room for what all peers may send in a moment, as far as the system grants it.
-    void makeRoom();
+    void growReceiveBuffer();
     void bind(const Address& listen);
 
-    std::vector<sockaddr_in> peers_;                  // by number
-    std::unordered_map<std::uint64_t, int> numbers_;  // the same by address and port: the lowest of each
+    std::vector<sockaddr_in> peerAddresses_;  // by number
+    std::unordered_map<std::uint64_t, int>
+        peerNumberByAddress_;  // the same by address and port: the lowest of each
     const Limits& limits_;
     Counters& counters_;
     Log& log_;
-    std::function<void(const PeerMessage&)> heard_;
+    std::function<void(const PeerMessage&)> onMessage_;
     int socket_ = -1;
-    Owned<event> event_;
+    LibeventPtr<event> readEvent_;
 };
 
 }  // namespace martencove
--- a/src/ops/front.cpp
+++ b/src/ops/front.cpp
@@ -23,61 +23,63 @@
 
 }  // namespace
 
-Front::Front(event_base* base, const Address& listen, Ports ports, const Clock& clock, const Limits& limits,
-             Counters& counters, Log& log)
-    : ports_(std::move(ports)),
+Front::Front(event_base* base, const Address& listen, Callbacks ports, const Clock& clock,
+             const Limits& limits, Counters& counters, Log& log)
+    : callbacks_(std::move(ports)),
       clock_(clock),
       limits_(limits),
       counters_(counters),
       log_(log),
-      sweep_(base, [this] { sweep(); }),
+      sweepTimer_(base, [this] { closeTimedOutCallers(); }),
       server_(evhttp_new(base)) {
-    evhttp_set_max_headers_size(server_.get(), static_cast<ev_ssize_t>(limits.headers));
-    evhttp_set_max_body_size(server_.get(), static_cast<ev_ssize_t>(limits.opsBody));
+    evhttp_set_max_headers_size(server_.get(), static_cast<ev_ssize_t>(limits.maxHeaderBytes));
+    evhttp_set_max_body_size(server_.get(), static_cast<ev_ssize_t>(limits.maxOpsBodyBytes));
     evhttp_set_allowed_methods(server_.get(), EVHTTP_REQ_GET | EVHTTP_REQ_PUT | EVHTTP_REQ_HEAD |
                                                   EVHTTP_REQ_POST | EVHTTP_REQ_DELETE);
-    evhttp_set_gencb(server_.get(), requested, this);
-    evhttp_set_bevcb(server_.get(), accepted, this);
+    evhttp_set_gencb(server_.get(), onRequest, this);
+    evhttp_set_bevcb(server_.get(), onAccept, this);
     if (evhttp_bind_socket(server_.get(), listen.host.c_str(), listen.port) != 0)
-        throw std::runtime_error("ops: cannot bind " + listen.text());
-    sweep_.start(limits_.sweepMs);
+        throw std::runtime_error("ops: cannot bind " + listen.toString());
+    sweepTimer_.start(limits_.sweepIntervalMs);
 }
 
 // Beyond the bound the oldest caller gives way: one that is served is gone at once, so that it is one that
 // says nothing.
-bufferevent* Front::accepted(event_base* base, void* arg) {
+bufferevent* Front::onAccept(event_base* base, void* arg) {
     auto* self = static_cast<Front*>(arg);
     self->counters_.add("ops_connection");
-    self->sweep();
-    if (self->callers_.size() >= self->limits_.opsConnections) {
+    self->closeTimedOutCallers();
+    if (self->callers_.size() >= self->limits_.maxOpsConnections) {
         shutdown(bufferevent_getfd(self->callers_.front().buffers.get()), SHUT_RDWR);
         self->callers_.pop_front();
         self->counters_.add("ops_crowd");
     }
-    HeldBuffers held = heldBuffers(base);
+    BuffereventRef held = newBufferevent(base);
     if (!held) return nullptr;
     bufferevent* buffers = held.get();
     // An answer is due whatever the load.
-    bufferevent_priority_set(buffers, kFirstPriority);
+    bufferevent_priority_set(buffers, kHighPriority);
     self->callers_.push_back({std::move(held), self->clock_.nowMs()});
     return buffers;
 }
 
-void Front::sweep() {
-    std::erase_if(callers_, [](const Caller& c) { return letGo(c.buffers.get()); });
+void Front::closeTimedOutCallers() {
+    std::erase_if(callers_, [](const Caller& c) { return closedByEvhttp(c.buffers.get()); });
     // evhttp's own time-out begins anew with each byte.
-    const double before = clock_.nowMs() - limits_.opsSilentMs;
-    while (!callers_.empty() && callers_.front().sinceMs < before) {
+    const double before = clock_.nowMs() - limits_.opsRequestTimeoutMs;
+    while (!callers_.empty() && callers_.front().acceptedAtMs < before) {
         shutdown(bufferevent_getfd(callers_.front().buffers.get()), SHUT_RDWR);
         callers_.pop_front();
         counters_.add("ops_silent");
     }
-    sweep_.start(limits_.sweepMs);
+    sweepTimer_.start(limits_.sweepIntervalMs);
 }
 
-void Front::requested(evhttp_request* request, void* self) { static_cast<Front*>(self)->take(request); }
+void Front::onRequest(evhttp_request* request, void* self) {
+    static_cast<Front*>(self)->handleRequest(request);
+}
 
-void Front::take(evhttp_request* request) {
+void Front::handleRequest(evhttp_request* request) {
     counters_.add("ops_call");
     const char* uri = evhttp_request_get_uri(request);
     const std::string target = uri == nullptr ? "" : uri;
@@ -85,12 +87,12 @@
     const auto command = evhttp_request_get_command(request);
     if (path == "/api/ready") {
         if (command != EVHTTP_REQ_GET && command != EVHTTP_REQ_HEAD) return answer(request, false, "GET");
-        return answer(request, ports_.ready());
+        return answer(request, callbacks_.isReady());
     }
     if (path == "/api/evacuate" || path == "/api/rejoin") {
         if (command != EVHTTP_REQ_PUT) return answer(request, false, "PUT");
         log_.info("ops", "called", {{"call", path}});
-        path == "/api/evacuate" ? ports_.evacuate() : ports_.rejoin();
+        path == "/api/evacuate" ? callbacks_.evacuate() : callbacks_.rejoin();
         return answer(request, true);
     }
     counters_.add("ops_unknown");
--- a/src/ops/front.h
+++ b/src/ops/front.h
@@ -15,8 +15,8 @@
 namespace martencove::ops {
 
 /// What the calls ask of the program.
-struct Ports {
-    std::function<bool()> ready;     ///< whether it takes clients
+struct Callbacks {
+    std::function<bool()> isReady;   ///< whether it takes clients
     std::function<void()> evacuate;  ///< to empty itself; again: nothing new
     std::function<void()> rejoin;    ///< and back to work
 };
@@ -24,18 +24,18 @@
 class Front {
 public:
     /// Throws std::runtime_error where the address cannot be bound.
-    Front(event_base* base, const Address& listen, Ports ports, const Clock& clock, const Limits& limits,
+    Front(event_base* base, const Address& listen, Callbacks ports, const Clock& clock, const Limits& limits,
           Counters& counters, Log& log);
     Front(const Front&) = delete;
     Front& operator=(const Front&) = delete;
 
 private:
-    static void requested(evhttp_request* request, void* self);
-    static bufferevent* accepted(event_base* base, void* self);
-    void take(evhttp_request* request);
-    void sweep();
+    static void onRequest(evhttp_request* request, void* self);
+    static bufferevent* onAccept(event_base* base, void* self);
+    void handleRequest(evhttp_request* request);
+    void closeTimedOutCallers();
 
-    Ports ports_;
+    Callbacks callbacks_;
     const Clock& clock_;
     const Limits& limits_;
     Counters& counters_;
@@ -43,12 +43,12 @@
     // Connections by age, the oldest first. A reference to each one's buffers is held, which evhttp's end of
     // it leaves without callbacks.
     struct Caller {
-        HeldBuffers buffers;
-        double sinceMs = 0;
+        BuffereventRef buffers;
+        double acceptedAtMs = 0;
     };
     std::list<Caller> callers_;
-    Timer sweep_;
-    Owned<evhttp> server_;  // last: its end closes the connections
+    Timer sweepTimer_;
+    LibeventPtr<evhttp> server_;  // last: its end closes the connections
 };
 
 }  // namespace martencove::ops
--- a/src/roster/roster.h
+++ b/src/roster/roster.h
@@ -14,49 +14,49 @@
 
 namespace martencove::roster {
 
-enum class Health { ready, draining, gone };
+enum class ReportedState { ready, draining, gone };
 
 /// One entry of a list.
-struct Told {
+struct NodeReport {
     std::uint64_t id = 0;
-    Health health = Health::ready;
-    double bornMs = 0;  ///< Unix time of its last start; 0: long ago
+    ReportedState state = ReportedState::ready;
+    double bootTimeMs = 0;  ///< Unix time of its last start; 0: long ago
     int shard = 0;
 };
 
-struct List {
+struct ReportedList {
     std::int64_t version = 0;
-    bool whole = false;  ///< names every server: one that it leaves out is gone
-    std::vector<Told> nodes;
-    std::vector<std::uint64_t> unreadable;  ///< named, but what is told of them cannot be read: they stay
+    bool isSnapshot = false;  ///< names every server: one that it leaves out is gone
+    std::vector<NodeReport> nodes;
+    std::vector<std::uint64_t> unreadableIds;  ///< named, but what is told of them cannot be read: they stay
 };
 
 /// What a list changes.
-struct Effect {
-    std::vector<std::size_t> taken;  ///< entries of the list that count, in order
-    std::vector<Told> left;          ///< servers that a whole list leaves out: gone
-    std::size_t stale = 0;           ///< entries passed over: something newer is known
+struct MergeResult {
+    std::vector<std::size_t> appliedIndexes;  ///< entries of the list that count, in order
+    std::vector<NodeReport> removed;          ///< servers that a whole list leaves out: gone
+    std::size_t staleCount = 0;               ///< entries passed over: something newer is known
 };
 
 class Roster {
 public:
     /// Of servers that are gone at most `mostGone` are remembered, those told last.
-    explicit Roster(std::size_t mostGone) : mostGone_(mostGone) {}
+    explicit Roster(std::size_t mostGone) : maxGone_(mostGone) {}
 
-    [[nodiscard]] Effect take(const List& list);
-    [[nodiscard]] std::size_t size() const { return known_.size(); }
+    [[nodiscard]] MergeResult merge(const ReportedList& list);
+    [[nodiscard]] std::size_t size() const { return nodesById_.size(); }
 
 private:
-    struct Known {
-        Told told;
+    struct KnownNode {
+        NodeReport report;
         std::int64_t version = 0;  // of the list that told it
     };
-    [[nodiscard]] bool counts(const Told& told, std::int64_t version) const;
-    void forget();
+    [[nodiscard]] bool supersedesKnown(const NodeReport& told, std::int64_t version) const;
+    void evictOldestGone();
 
-    std::size_t mostGone_;
-    std::size_t gone_ = 0;  // of known_
-    std::unordered_map<std::uint64_t, Known> known_;
+    std::size_t maxGone_;
+    std::size_t goneCount_ = 0;  // of known_
+    std::unordered_map<std::uint64_t, KnownNode> nodesById_;
 };
 
 }  // namespace martencove::roster
--- a/src/settings_json/retune.cpp
+++ b/src/settings_json/retune.cpp
@@ -16,27 +16,27 @@
 
 }  // namespace
 
-Site retuned(const Site& now, Site next) {
-    if (next.module.attemptCap < 1) complain("SendCap", "not above 0");
-    if (next.classNames.empty()) complain("Classes", "none");
+ProgramSettings mergeSettings(const ProgramSettings& now, ProgramSettings next) {
+    if (next.scheduler.attemptCap < 1) throwFieldError("SendCap", "not above 0");
+    if (next.classNames.empty()) throwFieldError("Classes", "none");
     std::set<std::string> names;
     for (const std::string& name : next.classNames)
         if (name.empty() || name == kDropped || !names.insert(name).second)
-            complain("Classes.Name", "empty or told twice");
-    std::vector<ClassSettings> classes = now.module.classes;
+            throwFieldError("Classes.Name", "empty or told twice");
+    std::vector<ClassSettings> classes = now.scheduler.classes;
     std::vector<std::string> classNames(classes.size(), kDropped);
-    for (ClassSettings& c : classes) c.dropped = true;
+    for (ClassSettings& c : classes) c.retired = true;
     for (std::size_t k = 0; k < next.classNames.size(); ++k) {
-        const ClassSettings& wanted = next.module.classes[k];
+        const ClassSettings& wanted = next.scheduler.classes[k];
         const auto same = [&](const ClassSettings& c) {
             ClassSettings alive = c;
-            alive.dropped = false;
+            alive.retired = false;
             return alive == wanted;
         };
         // The number that has its name already, else any of the same rules that nobody has.
         std::size_t at = classes.size();
         for (std::size_t i = 0; i < classes.size(); ++i) {
-            if (!classes[i].dropped || !same(classes[i])) continue;
+            if (!classes[i].retired || !same(classes[i])) continue;
             if (at == classes.size()) at = i;
             if (i < now.classNames.size() && now.classNames[i] == next.classNames[k]) {
                 at = i;
@@ -44,18 +44,19 @@
             }
         }
         if (at == classes.size()) {
-            if (classes.size() >= kMostClasses) complain("Classes", "changed too often since the start");
+            if (classes.size() >= kMostClasses)
+                throwFieldError("Classes", "changed too often since the start");
             classes.push_back(wanted);
             classNames.emplace_back();
         }
-        classes[at].dropped = false;
+        classes[at].retired = false;
         classNames[at] = next.classNames[k];
     }
-    next.module.classes = std::move(classes);
+    next.scheduler.classes = std::move(classes);
     next.classNames = std::move(classNames);
     for (std::size_t i = 0; i < now.planNames.size(); ++i) {
         if (i >= next.planNames.size() || next.planNames[i] != now.planNames[i])
-            complain("ServiceLevels", "dropped or in another order");
+            throwFieldError("ServiceLevels", "dropped or in another order");
     }
     return next;
 }
@@ -63,10 +64,10 @@
 void requireKeys(const Json& now, const Json& next, const std::string& at) {
     const auto below = [&](const std::string& key) { return at.empty() ? key : at + '.' + key; };
     if (now.is_object()) {
-        if (!next.is_object()) complain(at, "not an object");
+        if (!next.is_object()) throwFieldError(at, "not an object");
         for (const auto& [key, value] : now.items()) {
             const auto there = next.find(key);
-            if (there == next.end() || there->is_null()) complain(below(key), "missing");
+            if (there == next.end() || there->is_null()) throwFieldError(below(key), "missing");
             requireKeys(value, *there, below(key));
         }
     } else if (now.is_array() && !now.empty() && next.is_array()) {
@@ -79,7 +80,7 @@
         if (!common.is_object()) return;
         for (const Json& entry : next)
             for (const auto& [key, value] : common.items())
-                if (!entry.is_object() || !entry.contains(key)) complain(below(key), "missing");
+                if (!entry.is_object() || !entry.contains(key)) throwFieldError(below(key), "missing");
     }
 }
 
--- a/src/settings_json/retune.h
+++ b/src/settings_json/retune.h
@@ -8,7 +8,7 @@
 /// `next` with the numbers of `now`: a class that is unchanged keeps its number, one that is new or different
 /// gets another, and the old one's rules stay for the requests that hold it. Plans stand at their places,
 /// since hosts tell each other their numbers. Throws fields::FieldError where that cannot be done.
-[[nodiscard]] Site retuned(const Site& now, Site next);
+[[nodiscard]] ProgramSettings mergeSettings(const ProgramSettings& now, ProgramSettings next);
 
 /// Throws fields::FieldError, naming it, where `next` lacks a key that `now` has: such a file is not whole.
 /// Of a list's entries each needs what all those of `now` have.
--- a/src/settings_json/settings_json.h
+++ b/src/settings_json/settings_json.h
@@ -10,17 +10,17 @@
 namespace limedrum {
 
 /// The module's settings, and what else a program needs of the object.
-struct Site {
-    Settings module;
+struct ProgramSettings {
+    Settings scheduler;
     std::vector<std::string> classNames;  ///< by class number
     std::vector<std::string> planNames;   ///< by plan number
-    double nodeIdleMs = 15000;            ///< a node closes a connection idle for this long
-    double dialMs = 250;                  ///< a connection not made within this has failed
-    int shards = 0;                       ///< counted from 0; 0: not told how many
-    int openRequests = 1 << 16;           ///< requests held at once, at most
+    double nodeIdleTimeoutMs = 15000;     ///< a node closes a connection idle for this long
+    double connectTimeoutMs = 250;        ///< a connection not made within this has failed
+    int shardCount = 0;                   ///< counted from 0; 0: not told how many
+    int maxOpenRequests = 1 << 16;        ///< requests held at once, at most
 };
 
 /// Throws fields::FieldError, whose text names the field.
-[[nodiscard]] Site decodeSettings(const nlohmann::json& json);
+[[nodiscard]] ProgramSettings decodeSettings(const nlohmann::json& json);
 
 }  // namespace limedrum
--- a/src/shutdown/schedule.cpp
+++ b/src/shutdown/schedule.cpp
@@ -9,24 +9,22 @@
     // From the end to the beginning, since the end is fixed. With a very short deadline the first steps fall
     // together at 0: whatever comes then is refused at once, for which a connection still has to be accepted.
     const auto before = [](double stepMs, double spanMs) { return std::max(0.0, stepMs - spanMs); };
-    steps.killMs = std::min(deadlineMs, kMostDeadlineMs) + kKillMarginMs - kSignalLateMs;
-    steps.exitByMs = before(steps.killMs, kTurnMs + kWayOutMs);
-    steps.answerByMs = before(steps.exitByMs, kStallMs + kTurnMs);
-    steps.furtherAttemptUntilMs = before(steps.answerByMs, kStallMs + kTurnMs);
-    steps.firstAttemptUntilMs = before(steps.furtherAttemptUntilMs, kStallMs);
-    steps.acceptUntilMs = std::min(kAcceptMs, steps.answerByMs);
-    steps.partialRequestUntilMs = std::min(steps.acceptUntilMs + kPartialRequestMs, steps.answerByMs);
+    steps.earliestSigkillMs =
+        std::min(deadlineMs, kMaxCountedDeadlineMs) + kSigkillMarginMs - kMaxSignalDelayMs;
+    steps.exitByMs = before(steps.earliestSigkillMs, kLoopTurnMs + kMaxDeliveryMs);
+    steps.answerByMs = before(steps.exitByMs, kMaxStallMs + kLoopTurnMs);
+    steps.furtherAttemptUntilMs = before(steps.answerByMs, kMaxStallMs + kLoopTurnMs);
+    steps.firstAttemptUntilMs = before(steps.furtherAttemptUntilMs, kMaxStallMs);
+    steps.acceptUntilMs = std::min(kAcceptWindowMs, steps.answerByMs);
+    steps.partialRequestUntilMs = std::min(steps.acceptUntilMs + kPartialRequestWindowMs, steps.answerByMs);
     return steps;
 }
 
 ShutdownSchedule ShutdownSchedule::startingAt(double nowMs) const {
-    return {acceptUntilMs + nowMs,
-            partialRequestUntilMs + nowMs,
-            firstAttemptUntilMs + nowMs,
-            furtherAttemptUntilMs + nowMs,
-            answerByMs + nowMs,
-            exitByMs + nowMs,
-            killMs + nowMs};
+    return {acceptUntilMs + nowMs,       partialRequestUntilMs + nowMs,
+            firstAttemptUntilMs + nowMs, furtherAttemptUntilMs + nowMs,
+            answerByMs + nowMs,          exitByMs + nowMs,
+            earliestSigkillMs + nowMs};
 }
 
 ShutdownSchedule ShutdownSchedule::earlierOf(const ShutdownSchedule& other) const {
@@ -36,17 +34,19 @@
             std::min(furtherAttemptUntilMs, other.furtherAttemptUntilMs),
             std::min(answerByMs, other.answerByMs),
             std::min(exitByMs, other.exitByMs),
-            std::min(killMs, other.killMs)};
+            std::min(earliestSigkillMs, other.earliestSigkillMs)};
 }
 
-void LongestDeadline::change(double nowMs, double deadlineMs) {
-    inForceMs_ = std::min(at(nowMs), deadlineMs);
-    raise_.reset();
-    if (deadlineMs > inForceMs_) raise_ = Raise{nowMs, deadlineMs};
+void LongestDeadline::update(double nowMs, double deadlineMs) {
+    effectiveMs_ = std::min(deadlineMsAt(nowMs), deadlineMs);
+    pendingIncrease_.reset();
+    if (deadlineMs > effectiveMs_) pendingIncrease_ = PendingIncrease{nowMs, deadlineMs};
 }
 
-double LongestDeadline::at(double nowMs) const {
-    return raise_ && nowMs - raise_->sinceMs >= kSettleMs ? raise_->deadlineMs : inForceMs_;
+double LongestDeadline::deadlineMsAt(double nowMs) const {
+    return pendingIncrease_ && nowMs - pendingIncrease_->sinceMs >= kIncreaseDelayMs
+               ? pendingIncrease_->deadlineMs
+               : effectiveMs_;
 }
 
 }  // namespace martencove
--- a/src/shutdown/schedule.h
+++ b/src/shutdown/schedule.h
@@ -35,7 +35,7 @@
     /// The process ends a turn of the loop later, whatever is left.
     double exitByMs = std::numeric_limits<double>::infinity();
     /// The earliest SIGKILL, where the signal was seen as late as the schedule allows for.
-    double killMs = std::numeric_limits<double>::infinity();
+    double earliestSigkillMs = std::numeric_limits<double>::infinity();
 
     /// The steps of a shutdown whose settings have this longest deadline, as spans.
     [[nodiscard]] static ShutdownSchedule forLongestDeadline(double deadlineMs);
@@ -45,20 +45,20 @@
     [[nodiscard]] ShutdownSchedule earlierOf(const ShutdownSchedule& other) const;
 
     /// The longest hold-up between reading the clock and acting on it, as the standing test gives it.
-    static constexpr double kStallMs = 150;
+    static constexpr double kMaxStallMs = 150;
     /// One turn of the event loop.
-    static constexpr double kTurnMs = 20;
+    static constexpr double kLoopTurnMs = 20;
     /// From SIGTERM to the turn that sees it.
-    static constexpr double kSignalLateMs = kStallMs + kTurnMs;
+    static constexpr double kMaxSignalDelayMs = kMaxStallMs + kLoopTurnMs;
     /// From the kernel here to the client.
-    static constexpr double kWayOutMs = 50;
+    static constexpr double kMaxDeliveryMs = 50;
     /// What the protocol gives beyond the longest deadline, and the part of that which counts.
-    static constexpr double kKillMarginMs = 700;
-    static constexpr double kMostDeadlineMs = 3000;
+    static constexpr double kSigkillMarginMs = 700;
+    static constexpr double kMaxCountedDeadlineMs = 3000;
     /// New connections come for 0.4 s after SIGTERM, and 50 ms count for their way.
-    static constexpr double kAcceptMs = 450;
+    static constexpr double kAcceptWindowMs = 450;
     /// After the listeners' close, for a request that has come in part.
-    static constexpr double kPartialRequestMs = 1000;
+    static constexpr double kPartialRequestWindowMs = 1000;
 };
 
 /// The longest deadline by which a shutdown counts, while configurations change. Whoever sends SIGKILL may
@@ -66,21 +66,21 @@
 /// while.
 class LongestDeadline {
 public:
-    explicit LongestDeadline(double deadlineMs) : inForceMs_(deadlineMs) {}
+    explicit LongestDeadline(double deadlineMs) : effectiveMs_(deadlineMs) {}
     /// The settings' longest deadline is another one since `nowMs`.
-    void change(double nowMs, double deadlineMs);
-    [[nodiscard]] double at(double nowMs) const;
+    void update(double nowMs, double deadlineMs);
+    [[nodiscard]] double deadlineMsAt(double nowMs) const;
 
     /// The protocol counts what a new configuration tells after this time.
-    static constexpr double kSettleMs = 4000;
+    static constexpr double kIncreaseDelayMs = 4000;
 
 private:
-    struct Raise {
+    struct PendingIncrease {
         double sinceMs;
         double deadlineMs;
     };
-    double inForceMs_;
-    std::optional<Raise> raise_;  ///< told, and not counted yet
+    double effectiveMs_;
+    std::optional<PendingIncrease> pendingIncrease_;  ///< told, and not counted yet
 };
 
 }  // namespace martencove
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -26,16 +26,16 @@
 
 // Proxies turn to a degraded endpoint only where the healthy ones do not suffice: a shard's work goes to the
 // node that the decisions choose.
-endpoint::HealthStatus healthOf(const NodeView& view) {
+endpoint::HealthStatus healthOf(const NodeStatus& view) {
     if (view.node.state == NodeState::draining) return endpoint::DRAINING;
-    if (view.silent) return endpoint::UNHEALTHY;
-    return view.chosen ? endpoint::HEALTHY : endpoint::DEGRADED;
+    if (view.unresponsive) return endpoint::UNHEALTHY;
+    return view.receivesNewWork ? endpoint::HEALTHY : endpoint::DEGRADED;
 }
 
-Snapshot snapshotOf(const std::vector<NodeView>& nodes) {
+Snapshot snapshotOf(const std::vector<NodeStatus>& nodes) {
     std::map<std::string, endpoint::ClusterLoadAssignment> clusters;
-    for (const NodeView& view : nodes) {
-        const auto dial = parseAddress(view.node.dial);
+    for (const NodeStatus& view : nodes) {
+        const auto dial = parseAddress(view.node.address);
         if (!dial) continue;
         const std::string name = "shard-" + std::to_string(view.node.shard);
         auto& cluster = clusters[name];
@@ -47,7 +47,7 @@
         address->set_port_value(dial->port);
         out->set_health_status(healthOf(view));
         // In steps of an eighth, so that what is learned of a rate does not make a new version each round.
-        const double step = std::round(std::log2(std::max(view.rate, 1.0)) * 8) / 8;
+        const double step = std::round(std::log2(std::max(view.unitsPerSecond, 1.0)) * 8) / 8;
         out->mutable_load_balancing_weight()->set_value(
             static_cast<std::uint32_t>(std::lround(std::exp2(step))));
     }
@@ -58,60 +58,60 @@
 
 }  // namespace
 
-class Stream;
+class AdsStream;
 
 /// The streams and what they are told. Its members may be called from any thread.
-class Streams final : public discovery::AggregatedDiscoveryService::CallbackService {
+class AdsService final : public discovery::AggregatedDiscoveryService::CallbackService {
 public:
-    explicit Streams(std::size_t most) : most_(most) {}
+    explicit AdsService(std::size_t most) : maxStreams_(most) {}
     grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse>*
     StreamAggregatedResources(grpc::CallbackServerContext*) override;
     void publish(Snapshot snapshot);
     /// Both under `mutex`.
     const Snapshot& snapshot() const { return snapshot_; }
     std::uint64_t version() const { return version_; }
-    void remove(Stream* stream) { streams_.erase(stream); }
+    void remove(AdsStream* stream) { streams_.erase(stream); }
 
     std::map<std::string, std::uint64_t> takeCounts() {
         const std::lock_guard lock(mutex);
         return std::exchange(counts_, {});
     }
-    void count(const char* name) { ++counts_[name]; }  ///< under `mutex`
+    void incrementCounter(const char* name) { ++counts_[name]; }  ///< under `mutex`
 
     std::unique_ptr<grpc::Server> server;
     std::mutex mutex;
 
 private:
-    std::size_t most_;
+    std::size_t maxStreams_;
     Snapshot snapshot_;
     std::uint64_t version_ = 0;
-    std::set<Stream*> streams_;
+    std::set<AdsStream*> streams_;
     std::map<std::string, std::uint64_t> counts_;
 };
 
 /// One proxy's stream: it names clusters, is told of them, and again when one of them changes.
-class Stream final
+class AdsStream final
     : public grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse> {
 public:
-    explicit Stream(Streams& streams) : streams_(streams) { StartRead(&request_); }
+    explicit AdsStream(AdsService& streams) : streams_(streams) { StartRead(&request_); }
 
     void OnReadDone(bool ok) override {
         const std::lock_guard lock(streams_.mutex);
-        if (!ok) return end();
-        if (ended_) return;  // called off meanwhile: nothing more may be started
-        take();
-        tell();
+        if (!ok) return finishStream();
+        if (finished_) return;  // called off meanwhile: nothing more may be started
+        handleRequest();
+        sendIfChanged();
         StartRead(&request_);
     }
     void OnWriteDone(bool ok) override {
         const std::lock_guard lock(streams_.mutex);
         writing_ = false;
-        if (!ok) return end();
-        tell();
+        if (!ok) return finishStream();
+        sendIfChanged();
     }
     void OnCancel() override {
         const std::lock_guard lock(streams_.mutex);
-        end();
+        finishStream();
     }
     void OnDone() override {
         {
@@ -122,19 +122,19 @@
     }
 
     /// Sends what has changed of what was asked for, one answer at a time. Under the mutex, as all below.
-    void tell() {
-        if (writing_ || ended_ || names_.empty()) return;
+    void sendIfChanged() {
+        if (writing_ || finished_ || resourceNames_.empty()) return;
         Snapshot due;
-        for (const std::string& name : names_) {
+        for (const std::string& name : resourceNames_) {
             const auto at = streams_.snapshot().find(name);
             // A cluster that is not there (any more) has no endpoints.
             endpoint::ClusterLoadAssignment none;
             none.set_cluster_name(name);
             due[name] = at == streams_.snapshot().end() ? none.SerializeAsString() : at->second;
         }
-        if (due == told_) return;
-        told_ = due;
-        nonce_ = std::to_string(++answers_);
+        if (due == lastSent_) return;
+        lastSent_ = due;
+        nonce_ = std::to_string(++responseCount_);
         response_.Clear();
         response_.set_version_info(std::to_string(streams_.version()));
         response_.set_type_url(kEndpoints);
@@ -145,33 +145,33 @@
             resource->set_value(bytes);
         }
         writing_ = true;
-        streams_.count("xds_response");
+        streams_.incrementCounter("xds_response");
         StartWrite(&response_);
     }
 
 private:
-    void take() {
-        streams_.count("xds_request");
+    void handleRequest() {
+        streams_.incrementCounter("xds_request");
         if (request_.type_url() != kEndpoints) return;  // a kind that is not offered: it waits in vain
         if (!request_.response_nonce().empty() && request_.response_nonce() != nonce_)
             return;  // a newer one is out
         // A proxy that could not use an answer keeps what it had; it is told again when something changes.
-        if (request_.has_error_detail()) streams_.count("xds_nack");
-        names_ = {request_.resource_names().begin(), request_.resource_names().end()};
+        if (request_.has_error_detail()) streams_.incrementCounter("xds_nack");
+        resourceNames_ = {request_.resource_names().begin(), request_.resource_names().end()};
     }
-    void end() {
-        if (!std::exchange(ended_, true)) Finish(grpc::Status::OK);
+    void finishStream() {
+        if (!std::exchange(finished_, true)) Finish(grpc::Status::OK);
     }
 
-    Streams& streams_;
+    AdsService& streams_;
     discovery::DiscoveryRequest request_;
     discovery::DiscoveryResponse response_;
-    std::set<std::string> names_;
-    Snapshot told_;
+    std::set<std::string> resourceNames_;
+    Snapshot lastSent_;
     std::string nonce_;
-    std::uint64_t answers_ = 0;
+    std::uint64_t responseCount_ = 0;
     bool writing_ = false;
-    bool ended_ = false;
+    bool finished_ = false;
 };
 
 namespace {
@@ -187,41 +187,41 @@
 }  // namespace
 
 grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse>*
-Streams::StreamAggregatedResources(grpc::CallbackServerContext*) {
+AdsService::StreamAggregatedResources(grpc::CallbackServerContext*) {
     const std::lock_guard lock(mutex);
-    if (streams_.size() >= most_) {
-        count("xds_turned_away");
+    if (streams_.size() >= maxStreams_) {
+        incrementCounter("xds_turned_away");
         return new TurnedAway;  // owns itself, as gRPC's reactors do
     }
-    count("xds_stream");
-    auto* stream = new Stream(*this);
+    incrementCounter("xds_stream");
+    auto* stream = new AdsStream(*this);
     streams_.insert(stream);
     return stream;
 }
 
-void Streams::publish(Snapshot snapshot) {
+void AdsService::publish(Snapshot snapshot) {
     const std::lock_guard lock(mutex);
     if (version_ > 0 && snapshot == snapshot_) return;
     snapshot_ = std::move(snapshot);
     ++version_;
-    for (Stream* stream : streams_) stream->tell();
+    for (AdsStream* stream : streams_) stream->sendIfChanged();
 }
 
 Server::Server(event_base* base, const Address& listen, const Limits& limits, Counters& counters,
-               std::function<std::vector<NodeView>()> view)
+               std::function<std::vector<NodeStatus>()> view)
     : limits_(limits),
       counters_(counters),
-      view_(std::move(view)),
-      streams_(std::make_unique<Streams>(limits.xdsStreams)),
-      look_(base, [this] { look(); }) {
+      getNodeStatuses_(std::move(view)),
+      streams_(std::make_unique<AdsService>(limits.maxXdsStreams)),
+      publishTimer_(base, [this] { publishSnapshot(); }) {
     grpc::ServerBuilder builder;
-    builder.AddListeningPort(listen.text(), grpc::InsecureServerCredentials());
-    builder.SetMaxReceiveMessageSize(static_cast<int>(limits.body));
+    builder.AddListeningPort(listen.toString(), grpc::InsecureServerCredentials());
+    builder.SetMaxReceiveMessageSize(static_cast<int>(limits.maxRequestBodyBytes));
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.RegisterService(streams_.get());
     streams_->server = builder.BuildAndStart();
-    if (!streams_->server) throw std::runtime_error("xds listen: cannot bind " + listen.text());
-    look();
+    if (!streams_->server) throw std::runtime_error("xds listen: cannot bind " + listen.toString());
+    publishSnapshot();
 }
 
 Server::~Server() {
@@ -229,10 +229,10 @@
     streams_->server->Wait();
 }
 
-void Server::look() {
-    streams_->publish(snapshotOf(view_()));
+void Server::publishSnapshot() {
+    streams_->publish(snapshotOf(getNodeStatuses_()));
     for (const auto& [name, count] : streams_->takeCounts()) counters_.add(name, count);
-    look_.start(limits_.xdsLookMs);
+    publishTimer_.start(limits_.xdsUpdateIntervalMs);
 }
 
 }  // namespace martencove::xds
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -15,7 +15,7 @@
 
 namespace martencove::xds {
 
-class Streams;
+class AdsService;
 
 /// gRPC serves the streams on threads of its own; the view reaches them as a snapshot, and nothing comes back
 /// but counts.
@@ -23,19 +23,19 @@
 public:
     /// Throws std::runtime_error where `listen` cannot be bound.
     Server(event_base* base, const Address& listen, const Limits& limits, Counters& counters,
-           std::function<std::vector<NodeView>()> view);
+           std::function<std::vector<NodeStatus>()> view);
     ~Server();
     Server(const Server&) = delete;
     Server& operator=(const Server&) = delete;
 
 private:
-    void look();
+    void publishSnapshot();
 
     const Limits& limits_;
     Counters& counters_;
-    std::function<std::vector<NodeView>()> view_;
-    std::unique_ptr<Streams> streams_;
-    Timer look_;
+    std::function<std::vector<NodeStatus>()> getNodeStatuses_;
+    std::unique_ptr<AdsService> streams_;
+    Timer publishTimer_;
 };
 
 }  // namespace martencove::xds
--- a/tests/benchlink/wire_test.cpp
+++ b/tests/benchlink/wire_test.cpp
@@ -23,9 +23,9 @@
     return R"({"ClockMs":10.5,"round":)" + std::to_string(round) + R"(,"inbox":[)" + inbox + "]}";
 }
 std::string complaint(const std::string& line) {
-    Link link;
+    BenchSession link;
     try {
-        (void)link.answer(line);
+        (void)link.handleBatch(line);
     } catch (const WireError& error) {
         return error.what();
     }
@@ -33,8 +33,8 @@
 }
 
 TEST(Wire, ARequestGoesOutAndItsAnswerComesBack) {
-    Link link;
-    auto reply = nlohmann::json::parse(link.answer(batch(3, born(2) + "," + submit(2, "r-1"))));
+    BenchSession link;
+    auto reply = nlohmann::json::parse(link.handleBatch(batch(3, born(2) + "," + submit(2, "r-1"))));
     EXPECT_EQ(reply["round"], 3);
     int places = 0;
     for (const auto& decision : reply["decisions"]) {
@@ -45,17 +45,17 @@
         EXPECT_EQ(decision["Server"], 9);
     }
     EXPECT_EQ(places, 1);
-    const auto after = nlohmann::json::parse(link.answer(batch(
+    const auto after = nlohmann::json::parse(link.handleBatch(batch(
         4,
         R"({"verb":"Reply","I":2,"Corr":"r-1","Shot":0,"Server":9,"Verdict":"done","CostTimeMs":1.5,"Last":true})")));
     for (const auto& decision : after["decisions"]) EXPECT_EQ(decision["verb"], "Timer");
 }
 
 TEST(Wire, EmptyBatchesUnknownFieldsAndUnknownSettingsAreAccepted) {
-    Link link;
-    EXPECT_EQ(nlohmann::json::parse(link.answer(batch(1, ""))),
+    BenchSession link;
+    EXPECT_EQ(nlohmann::json::parse(link.handleBatch(batch(1, ""))),
               nlohmann::json::parse(R"({"round":1,"decisions":[]})"));
-    EXPECT_NO_THROW((void)link.answer(batch(2, born(0, R"(,"Whatever":{"x":1},"Limits":null)"))));
+    EXPECT_NO_THROW((void)link.handleBatch(batch(2, born(0, R"(,"Whatever":{"x":1},"Limits":null)"))));
 }
 
 TEST(Wire, MalformedInputIsNamed) {
@@ -73,31 +73,31 @@
 }
 
 TEST(Wire, ARefusedSettingBecomesAnInternalError) {
-    Link link;
-    const auto reply = nlohmann::json::parse(link.answer(
+    BenchSession link;
+    const auto reply = nlohmann::json::parse(link.handleBatch(
         batch(1, R"({"verb":"Born","I":0,"RngSeed":1,"Info":{"Classes":[{"AimMs":1,"DeadlineMs":0}]}})")));
     ASSERT_EQ(reply["decisions"].size(), 1U);
     EXPECT_EQ(reply["decisions"][0]["verb"], "InternalError");
 }
 
 TEST(Wire, InstancesAreApartHoweverTheyAreSpread) {
-    Link together;
-    const auto both = nlohmann::json::parse(
-        together.answer(batch(1, born(0) + "," + born(1) + "," + submit(0, "r-0") + "," + submit(1, "r-1"))));
+    BenchSession together;
+    const auto both = nlohmann::json::parse(together.handleBatch(
+        batch(1, born(0) + "," + born(1) + "," + submit(0, "r-0") + "," + submit(1, "r-1"))));
     nlohmann::json apart = nlohmann::json::array();
     for (const int instance : {0, 1}) {
-        Link link;
-        const auto reply = nlohmann::json::parse(
-            link.answer(batch(1, born(instance) + "," + submit(instance, "r-" + std::to_string(instance)))));
+        BenchSession link;
+        const auto reply = nlohmann::json::parse(link.handleBatch(
+            batch(1, born(instance) + "," + submit(instance, "r-" + std::to_string(instance)))));
         for (const auto& decision : reply["decisions"]) apart.push_back(decision);
     }
     EXPECT_EQ(both["decisions"], apart);
 }
 
 TEST(Wire, ACrashForgetsTheInstanceAlsoWithinABatch) {
-    Link link;
+    BenchSession link;
     const auto reply = nlohmann::json::parse(
-        link.answer(batch(1, born(0) + "," + submit(0, "r-1") + R"(,{"verb":"CrashNow","I":0})")));
+        link.handleBatch(batch(1, born(0) + "," + submit(0, "r-1") + R"(,{"verb":"CrashNow","I":0})")));
     EXPECT_TRUE(reply["decisions"].empty());
 }
 
--- a/tests/core/backoff_test.cpp
+++ b/tests/core/backoff_test.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 using martencove::Backoff;
-using martencove::callRests;
+using martencove::makeRetryDelays;
 
 namespace {
 
@@ -50,7 +50,7 @@
     std::vector<Backoff> backoffs;
     for (int caller = 0; caller < kCallers; ++caller) backoffs.emplace_back(5000, 20000, kSeed + caller);
     const auto spread = [&](int caller, int call) {
-        return call == 0 ? backoffs[caller].firstMs(5000) : backoffs[caller].nextMs();
+        return call == 0 ? backoffs[caller].initialDelayMs(5000) : backoffs[caller].nextDelayMs();
     };
     const auto inStep = [](int, int call) { return call == 0 ? 0.0 : 100.0; };
     CHECK(served(spread, 10000) >= 95);
@@ -60,36 +60,36 @@
 TEST_CASE("rests double up to their bound, never in step, and start anew after a success") {
     Backoff one(100, 400, kSeed), other(100, 400, kSeed + 1);
     for (const double meanMs : {100.0, 200.0, 400.0, 400.0}) {
-        const double restMs = one.nextMs();
+        const double restMs = one.nextDelayMs();
         CHECK(restMs >= meanMs / 2);
         CHECK(restMs < meanMs * 3 / 2);
-        CHECK(restMs != other.nextMs());
+        CHECK(restMs != other.nextDelayMs());
     }
     one.reset();
-    CHECK(one.nextMs() < 150);
-    for (int i = 0; i < 20; ++i) CHECK(one.firstMs(100) < 100);
+    CHECK(one.nextDelayMs() < 150);
+    for (int i = 0; i < 20; ++i) CHECK(one.initialDelayMs(100) < 100);
 }
 
 TEST_CASE("a list that an agent on the machine holds is called for at once, whatever the number of hosts") {
     // What the agent has been sent counts as told: 300 hosts that waited up to 15 s after a restart went on
     // sending to nodes that had drained since.
-    const auto rests = callRests(false, 300, 10000, 100, 50);
-    CHECK(rests.firstMs == 0);
-    CHECK(rests.leastMs == 100);
-    CHECK(rests.mostMs == 400);
+    const auto rests = makeRetryDelays(false, 300, 10000, 100, 50);
+    CHECK(rests.initialMs == 0);
+    CHECK(rests.minMs == 100);
+    CHECK(rests.maxMs == 400);
 }
 
 TEST_CASE("calls to one service for all are spread by the number of hosts, within the time to ask in") {
-    const auto hundred = callRests(true, 100, 10000, 100, 50);
-    CHECK(hundred.firstMs == 5000);
-    CHECK(hundred.leastMs == 5000);
-    CHECK(hundred.mostMs == 20000);
+    const auto hundred = makeRetryDelays(true, 100, 10000, 100, 50);
+    CHECK(hundred.initialMs == 5000);
+    CHECK(hundred.minMs == 5000);
+    CHECK(hundred.maxMs == 20000);
     const double mustAskInMs = 10000;
     for (const int hosts : {1, 300, 3000}) {
-        const auto rests = callRests(true, hosts, mustAskInMs, 100, 50);
-        CHECK(rests.firstMs <= mustAskInMs / 2);
-        CHECK(rests.leastMs <= rests.mostMs);
-        CHECK(rests.mostMs * 1.5 < 4 * mustAskInMs);  // the longest rest that is drawn of it
+        const auto rests = makeRetryDelays(true, hosts, mustAskInMs, 100, 50);
+        CHECK(rests.initialMs <= mustAskInMs / 2);
+        CHECK(rests.minMs <= rests.maxMs);
+        CHECK(rests.maxMs * 1.5 < 4 * mustAskInMs);  // the longest rest that is drawn of it
     }
-    CHECK(callRests(true, 300, 0, 100, 50).firstMs == 15000);  // no such time is told
+    CHECK(makeRetryDelays(true, 300, 0, 100, 50).initialMs == 15000);  // no such time is told
 }
--- a/tests/files/form_test.cpp
+++ b/tests/files/form_test.cpp
@@ -29,9 +29,9 @@
     return out;
 }
 
-Ruling offered(const std::string& bytes, bool wholeOnly = false) {
-    Gate gate{Rules{}};
-    return gate.offer({decodeNodeFile("f", bytes, wholeOnly)}, 1e12).ruling;
+OfferOutcome offered(const std::string& bytes, bool wholeOnly = false) {
+    MembershipManager gate{MembershipRules{}};
+    return gate.offerVersion({decodeNodeFile("f", bytes, wholeOnly)}, 1e12).outcome;
 }
 
 struct Folder {
@@ -48,31 +48,32 @@
     fs::path path;
 };
 
-bool told(Watch& watch) {
+bool told(FileWatcher& watch) {
     pollfd fd{watch.fd(), POLLIN, 0};
-    return poll(&fd, 1, 10'000) == 1 && watch.take().any;
+    return poll(&fd, 1, 10'000) == 1 && watch.readEvents().anyEvent;
 }
 
 }  // namespace
 
 TEST_CASE("a file cut at any byte is never taken, and never refused for good") {
-    const std::string whole = sealed(body(7, 5), 7);
-    REQUIRE(offered(whole) == Ruling::accepted);
+    const std::string whole = withTrailer(body(7, 5), 7);
+    REQUIRE(offered(whole) == OfferOutcome::accepted);
     const std::size_t close = whole.rfind('}');
     for (std::size_t cut = 0; cut <= close; ++cut) {
-        CHECK_MESSAGE(offered(whole.substr(0, cut)) == Ruling::incomplete, cut);
-        CHECK(offered(whole.substr(0, cut), true) == Ruling::incomplete);
+        CHECK_MESSAGE(offered(whole.substr(0, cut)) == OfferOutcome::incomplete, cut);
+        CHECK(offered(whole.substr(0, cut), true) == OfferOutcome::incomplete);
     }
-    CHECK(offered(whole.substr(0, close + 1)) == Ruling::accepted);  // only the line's end is missing
+    CHECK(offered(whole.substr(0, close + 1)) == OfferOutcome::accepted);  // only the line's end is missing
 }
 
 TEST_CASE("the new head with the old tail, cut anywhere, is never taken") {
-    const std::string old = sealed(body(7, 5), 7);
-    for (const std::string& next : {sealed(body(8, 5), 8), sealed(body(8, 4), 8), sealed(body(8, 9), 8)}) {
+    const std::string old = withTrailer(body(7, 5), 7);
+    for (const std::string& next :
+         {withTrailer(body(8, 5), 8), withTrailer(body(8, 4), 8), withTrailer(body(8, 9), 8)}) {
         for (std::size_t at = 1; at < std::min(old.size(), next.size()); ++at) {
             const std::string torn = next.substr(0, at) + old.substr(at);
             if (torn == next || torn == old) continue;
-            CHECK(offered(torn) != Ruling::accepted);
+            CHECK(offered(torn) != OfferOutcome::accepted);
         }
     }
 }
@@ -80,83 +81,84 @@
 TEST_CASE("blocks of the new version in any order over the old one are never taken") {
     std::mt19937_64 random(7);
     MESSAGE("seed 7");
-    const std::string old = sealed(body(7, 40), 7);
-    const std::string next = sealed(body(8, 40), 8);
+    const std::string old = withTrailer(body(7, 40), 7);
+    const std::string next = withTrailer(body(8, 40), 8);
     REQUIRE(old.size() == next.size());
     for (int round = 0; round < 300; ++round) {
         std::string torn = old;
         constexpr std::size_t kBlock = 64;
         for (std::size_t at = 0; at < torn.size(); at += kBlock)
             if (random() % 2 == 0) torn.replace(at, kBlock, next.substr(at, kBlock));
-        CHECK((torn == old || torn == next || offered(torn) == Ruling::incomplete));
+        CHECK((torn == old || torn == next || offered(torn) == OfferOutcome::incomplete));
     }
 }
 
 TEST_CASE("what a sealed file has wrong is told with its place") {
     const auto problem = [](const std::string& bytes) {
-        const Draft d = decodeNodeFile("f", bytes, false);
+        const ParsedNodeFile d = decodeNodeFile("f", bytes, false);
         return d.problems.empty() ? "" : d.problems.front().text();
     };
-    CHECK(problem(sealed("version: 1\ncount: x\n", 1)).starts_with("f:2:8: "));
-    CHECK(problem(sealed("version: 1\nnodes { }\n", 1)).starts_with("f:2:"));
-    CHECK(decodeNodeFile("f", sealed("version: 1\nnodes { }\n", 1), false).problems[0].severity ==
+    CHECK(problem(withTrailer("version: 1\ncount: x\n", 1)).starts_with("f:2:8: "));
+    CHECK(problem(withTrailer("version: 1\nnodes { }\n", 1)).starts_with("f:2:"));
+    CHECK(decodeNodeFile("f", withTrailer("version: 1\nnodes { }\n", 1), false).problems[0].severity ==
           Severity::refused);
-    const Draft d = decodeNodeFile(
-        "f", sealed(body(3, 2, "permit { from_version: 2 rack: \"b\" shard: 4 }\n"), 3), false);
+    const ParsedNodeFile d = decodeNodeFile(
+        "f", withTrailer(body(3, 2, "permit { from_version: 2 rack: \"b\" shard: 4 }\n"), 3), false);
     REQUIRE(d.members.size() == 2);
     CHECK(d.members[1].line == 5);
     CHECK(d.permits.at(0).racks == std::vector<std::string>{"b"});
     CHECK(d.permits[0].shards == std::vector<int>{4});
     // A shard that is not told is no shard 0.
-    CHECK(offered(sealed("version: 1\ncount: 1\nnode { name: \"a\" dial: \"h:1\" }\n", 1)) ==
-          Ruling::refused);
+    CHECK(offered(withTrailer("version: 1\ncount: 1\nnode { name: \"a\" dial: \"h:1\" }\n", 1)) ==
+          OfferOutcome::refused);
     for (const std::string& junk : {std::string(1000, '\0'), std::string("\xff\xfe\n\n"),
                                     std::string("end {"), std::string("\nend {}"), std::string("{")})
-        CHECK(offered(junk) == Ruling::incomplete);
+        CHECK(offered(junk) == OfferOutcome::incomplete);
 }
 
 TEST_CASE("sealing again after an edit keeps what a person wrote") {
     const std::string edited = "# racks as of today\nversion: 4\ncount: 9  # nodes\n" +
                                body(1, 2).substr(body(1, 2).find("node")) + "end { version: 3 }\n";
-    const std::string again = sealAgain("f", edited);
-    CHECK(offered(again) == Ruling::accepted);
+    const std::string again = updateCountAndTrailer("f", edited);
+    CHECK(offered(again) == OfferOutcome::accepted);
     CHECK(again.starts_with("# racks as of today\nversion: 4\ncount: 2# nodes\n"));
-    CHECK(sealAgain("f", again) == again);
-    CHECK_THROWS_AS((void)sealAgain("f", "version: x\n"), std::invalid_argument);
+    CHECK(updateCountAndTrailer("f", again) == again);
+    CHECK_THROWS_AS((void)updateCountAndTrailer("f", "version: x\n"), std::invalid_argument);
 }
 
 TEST_CASE("the kept version comes back as it was, and a spoilt one not at all") {
-    Gate gate{Rules{}};
-    REQUIRE(gate.offer({decodeNodeFile("f", sealed(body(7, 5), 7), true)}, 1000).ruling == Ruling::accepted);
-    const std::string text = encodeKept(*gate.inForce());
+    MembershipManager gate{MembershipRules{}};
+    REQUIRE(gate.offerVersion({decodeNodeFile("f", withTrailer(body(7, 5), 7), true)}, 1000).outcome ==
+            OfferOutcome::accepted);
+    const std::string text = encodeKeptVersion(*gate.current());
     std::string problem;
-    const Membership back = decodeKept(text, problem);
+    const Membership back = decodeKeptVersion(text, problem);
     CHECK(problem.empty());
-    CHECK(back.members == gate.inForce()->members);
+    CHECK(back.members == gate.current()->members);
     CHECK(back.version == 7);
-    CHECK(back.digest == gate.inForce()->digest);
+    CHECK(back.digest == gate.current()->digest);
     for (std::size_t at = 0; at + 2 < text.size(); at += 7) {
         std::string spoilt = text;
         spoilt[at] = static_cast<char>(spoilt[at] ^ 4);
         problem.clear();
-        (void)decodeKept(spoilt, problem);
+        (void)decodeKeptVersion(spoilt, problem);
         CHECK_MESSAGE(!problem.empty(), at);
     }
 }
 
 TEST_CASE("only regular files of a bounded size are read, and none is waited on") {
     const Folder folder;
-    CHECK(readWhole(folder.put("a", "text"), 4).bytes == "text");
-    CHECK(readWhole(folder.path / "a", 3).error.find("at most 3") != std::string::npos);
-    CHECK(readWhole(folder.path, 9).error == "is a directory");
-    CHECK(readWhole(folder.path / "none", 9).missing);
+    CHECK(readRegularFile(folder.put("a", "text"), 4).bytes == "text");
+    CHECK(readRegularFile(folder.path / "a", 3).error.find("at most 3") != std::string::npos);
+    CHECK(readRegularFile(folder.path, 9).error == "is a directory");
+    CHECK(readRegularFile(folder.path / "none", 9).missing);
     REQUIRE(mkfifo((folder.path / "fifo").c_str(), 0600) == 0);
-    CHECK(readWhole(folder.path / "fifo", 9).error == "is not a regular file");
-    CHECK(readWhole("/dev/zero", 9).error == "is not a regular file");
-    CHECK(replaceDurably(folder.path / "b", "one").empty());
-    CHECK(replaceDurably(folder.path / "b", "two").empty());
-    CHECK(readWhole(folder.path / "b", 9).bytes == "two");
-    CHECK(!replaceDurably(folder.path / "none" / "b", "x").empty());
+    CHECK(readRegularFile(folder.path / "fifo", 9).error == "is not a regular file");
+    CHECK(readRegularFile("/dev/zero", 9).error == "is not a regular file");
+    CHECK(writeFileAtomically(folder.path / "b", "one").empty());
+    CHECK(writeFileAtomically(folder.path / "b", "two").empty());
+    CHECK(readRegularFile(folder.path / "b", 9).bytes == "two");
+    CHECK(!writeFileAtomically(folder.path / "none" / "b", "x").empty());
 }
 
 TEST_CASE("the watch hears of every way in which a file may change") {
@@ -166,7 +168,7 @@
     const fs::path file = dir / "nodes";
     const auto write = [&](const fs::path& to, const std::string& text) { std::ofstream(to) << text; };
     write(file, "1");
-    Watch watch({file});
+    FileWatcher watch({file});
     SUBCASE("rewritten in place") { write(file, "2"); }
     SUBCASE("renamed over") {
         write(folder.path / "new", "2");
@@ -181,10 +183,10 @@
     const Folder folder;
     const fs::path dir = folder.path / "conf";
     fs::create_directory(dir);
-    Watch watch({dir / "nodes"});
+    FileWatcher watch({dir / "nodes"});
     fs::remove_all(dir);
     REQUIRE(told(watch));
-    while (watch.take().any) {
+    while (watch.readEvents().anyEvent) {
     }
     fs::create_directory(dir);
     REQUIRE(told(watch));
@@ -199,21 +201,21 @@
         std::ofstream(folder.path / name / "nodes") << name;
     }
     fs::create_directory_symlink("v1", folder.path / "now");
-    Watch watch({folder.path / "now" / "nodes"});
+    FileWatcher watch({folder.path / "now" / "nodes"});
     const auto turn = [&](const char* to) {
         fs::create_directory_symlink(to, folder.path / "next");
         fs::rename(folder.path / "next", folder.path / "now");
     };
     turn("v2");
     REQUIRE(told(watch));
-    while (watch.take().any) {
+    while (watch.readEvents().anyEvent) {
     }
     std::ofstream(folder.path / "v2" / "nodes") << "v2 again";  // where the link leads now
     CHECK(told(watch));
-    while (watch.take().any) {
+    while (watch.readEvents().anyEvent) {
     }
     std::ofstream(folder.path / "v1" / "nodes") << "v1 again";  // and where it leads no more
-    CHECK(!watch.take().any);
+    CHECK(!watch.readEvents().anyEvent);
     turn("v3");
     CHECK(told(watch));
 }
@@ -224,12 +226,12 @@
     folder.put("a.textproto", "1");
     folder.put(".hidden.textproto", "1");
     folder.put("a.textproto.new", "1");
-    const std::vector<std::string> files = filesOf({folder.path.string()});
+    const std::vector<std::string> files = expandPaths({folder.path.string()});
     REQUIRE(files.size() == 2);
     CHECK(files[0].ends_with("/a.textproto"));
-    const std::string before = fingerprint(files);
-    CHECK(fingerprint(files) == before);
+    const std::string before = computeFingerprint(files);
+    CHECK(computeFingerprint(files) == before);
     folder.put("a.textproto", "22");
-    CHECK(fingerprint(files) != before);
-    CHECK(filesOf({"/no/such"}) == std::vector<std::string>{"/no/such"});
+    CHECK(computeFingerprint(files) != before);
+    CHECK(expandPaths({"/no/such"}) == std::vector<std::string>{"/no/such"});
 }
