--- a/tests/files/source_test.cpp
+++ b/tests/files/source_test.cpp
@@ -20,16 +20,18 @@
 
 struct FileWorld {
     FileWorld() {
-        for (int i = 0; i < 4; ++i) nodes.push_back(std::make_unique<HttpNode>(world.base.get(), serve));
+        for (int i = 0; i < 4; ++i)
+            nodes.push_back(std::make_unique<StubHttpNode>(world.base.get(), replyWithRequestId));
         world.config.erase("discovery");
         fs::create_directory(dir());
-        world.nodes = {{"path", file()}, {"depart_s", 1}, {"look_s", 0.2}};
+        world.nodesSection = {{"path", file()}, {"depart_s", 1}, {"look_s", 0.2}};
     }
     std::string dir() const { return world.folder() + "/nodes.d"; }
     std::string file() const { return dir() + "/nodes.textproto"; }
     std::string entry(int i, const std::string& more = "") const {
-        return "node { name: \"s-" + std::to_string(i) + "\" dial: \"" + nodes[i]->listener.address.text() +
-               "\" shard: 5 rack: \"r" + std::to_string(i % 2) + "\" " + more + "}\n";
+        return "node { name: \"s-" + std::to_string(i) + "\" dial: \"" +
+               nodes[i]->listener.address.toString() + "\" shard: 5 rack: \"r" + std::to_string(i % 2) +
+               "\" " + more + "}\n";
     }
     /// A version with these nodes.
     std::string version(std::uint64_t number, const std::vector<int>& which,
@@ -37,25 +39,25 @@
         std::string out =
             "version: " + std::to_string(number) + "\ncount: " + std::to_string(which.size()) + '\n' + more;
         for (const int i : which) out += entry(i);
-        return files::sealed(out, number);
+        return files::withTrailer(out, number);
     }
     void put(const std::string& text) const { std::ofstream(file()) << text; }
-    std::string status() { return world.ask("GET /nodes HTTP/1.1\r\nHost: b\r\n\r\n").body; }
+    std::string status() { return world.sendRequest("GET /nodes HTTP/1.1\r\nHost: b\r\n\r\n").body; }
     bool inForce(std::uint64_t number) {
-        return world.until(
+        return world.waitUntil(
             [&] { return status().starts_with("version " + std::to_string(number) + " in force"); });
     }
     bool refused(const std::string& reason) {
-        return world.until([&] { return status().find(reason) != std::string::npos; });
+        return world.waitUntil([&] { return status().find(reason) != std::string::npos; });
     }
     int served(int requests) {
         int good = 0;
         for (int i = 0; i < requests; ++i)
-            good += world.ask(world.request("q" + std::to_string(++asked))).code() == 200;
+            good += world.sendRequest(world.makeRequest("q" + std::to_string(++asked))).statusCode() == 200;
         return good;
     }
-    World world;
-    std::vector<std::unique_ptr<HttpNode>> nodes;
+    ProgramHarness world;
+    std::vector<std::unique_ptr<StubHttpNode>> nodes;
     int asked = 0;
 };
 
@@ -74,15 +76,15 @@
     CHECK(t.nodes[0]->requests.size() == 3);
     t.put("version: 3\ncount: 1\nnode { name: \"x\" dial: \"nowhere\" shard: 5 }\n");
     CHECK(t.refused("no line that begins with \"end {\""));
-    t.put(files::sealed("version: 3\ncount: 1\nnode { name: \"x\" dial: \"nowhere\" shard: 5 }\n", 3));
+    t.put(files::withTrailer("version: 3\ncount: 1\nnode { name: \"x\" dial: \"nowhere\" shard: 5 }\n", 3));
     CHECK(t.refused("nodes.textproto:3:1: dial: \"nowhere\" is not host:port"));
     CHECK(t.served(3) == 3);
-    CHECK(t.world.counter("files_refused") >= 1);
+    CHECK(t.world.readCounter("files_refused") >= 1);
     CHECK(t.world.log.find("nodes: not taken version=3 in_force=2 reason=") != std::string::npos);
     // SIGUSR1 shows the same.
-    t.world.signal(SIGUSR1);
-    CHECK(t.world.until([&] { return t.world.log.find("refusal=") != std::string::npos; }));
-    CHECK(t.world.end() == 0);
+    t.world.sendSignal(SIGUSR1);
+    CHECK(t.world.waitUntil([&] { return t.world.log.find("refusal=") != std::string::npos; }));
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("files: a version without one rack is refused, a permit for the step lets it pass") {
@@ -99,12 +101,12 @@
 TEST_CASE("files: without any whole version the program is not ready, then it is") {
     FileWorld t;
     t.put(t.version(1, {0}).substr(0, 60));
-    t.world.startUnready();
-    CHECK(t.world.ask("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n").code() == 503);
-    CHECK(t.world.ask(t.world.request("early", "", 400)).code() == 503);
+    t.world.startUntilAnswering();
+    CHECK(t.world.sendRequest("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n").statusCode() == 503);
+    CHECK(t.world.sendRequest(t.world.makeRequest("early", "", 400)).statusCode() == 503);
     t.put(t.version(1, {0}));
-    CHECK(
-        t.world.until([&] { return t.world.ask("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n").code() == 200; }));
+    CHECK(t.world.waitUntil(
+        [&] { return t.world.sendRequest("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n").statusCode() == 200; }));
     CHECK(t.served(1) == 1);
 }
 
@@ -153,14 +155,14 @@
 
 TEST_CASE("files: a restart beside a broken file starts from the kept version and says so") {
     FileWorld t;
-    t.world.nodes["keep"] = t.world.folder() + "/kept";
+    t.world.nodesSection["keep"] = t.world.folder() + "/kept";
     t.put(t.version(4, {0, 1}));
     t.world.start();
     REQUIRE(t.inForce(4));
-    REQUIRE(t.world.until([&] { return fs::exists(t.world.folder() + "/kept"); }));
+    REQUIRE(t.world.waitUntil([&] { return fs::exists(t.world.folder() + "/kept"); }));
     SUBCASE("killed during a rewrite") {
         t.put(t.version(5, {0, 1, 2}).substr(0, 100));
-        CHECK(t.world.end(SIGKILL) == 128 + SIGKILL);
+        CHECK(t.world.stopAndWait(SIGKILL) == 128 + SIGKILL);
         t.world.start();
         CHECK(t.status().find("from the kept copy") != std::string::npos);
         CHECK(t.world.log.find("taken from the kept copy version=4") != std::string::npos);
@@ -169,7 +171,7 @@
         CHECK(t.inForce(5));
     }
     SUBCASE("a kept version that was spoilt is not used") {
-        CHECK(t.world.end() == 0);
+        CHECK(t.world.stopAndWait() == 0);
         fs::resize_file(t.world.folder() + "/kept", 100);
         t.world.start();
         CHECK(t.world.log.find("kept version not used") != std::string::npos);
@@ -181,7 +183,7 @@
 // moments. Each version names two of four nodes, in turn; the nodes' own records show which served when.
 TEST_CASE("files: a thousand rewrites under traffic") {
     FileWorld t;
-    t.nodes.push_back(std::make_unique<HttpNode>(t.world.base.get(), serve));
+    t.nodes.push_back(std::make_unique<StubHttpNode>(t.world.base.get(), replyWithRequestId));
     std::mt19937_64 random(20261202);
     MESSAGE("seed 20261202");
     const auto pair = [](std::uint64_t v) {
@@ -189,22 +191,22 @@
     };
     const std::string permit = "permit { from_version: ";
     std::uint64_t inForce = 1;
-    t.world.nodes["most_lost"] = 1;
+    t.world.nodesSection["most_lost"] = 1;
     t.put(t.version(1, {0, 1, 2, 3}));
     t.world.start();
     REQUIRE(t.inForce(1));
 
     int answered = 0, good = 0, sent = 0;
-    std::list<Wire> clients;
+    std::list<TestConnection> clients;
     const auto send = [&] {
-        Wire& wire = clients.emplace_back(t.world.base.get(), t.world.listen);
-        wire.onData = [&](Wire& w) {
-            while (const auto answer = takeHttp(w.got)) {
+        TestConnection& wire = clients.emplace_back(t.world.base.get(), t.world.listenAddress);
+        wire.onData = [&](TestConnection& w) {
+            while (const auto answer = takeHttpMessage(w.received)) {
                 ++answered;
-                good += answer->code() == 200;
+                good += answer->statusCode() == 200;
             }
         };
-        wire.send(t.world.request("t" + std::to_string(++sent)));
+        wire.send(t.world.makeRequest("t" + std::to_string(++sent)));
     };
     const std::string link = t.world.folder() + "/now";
     std::uint64_t number = 1;
@@ -254,17 +256,17 @@
                 fs::rename(t.dir() + "/link", t.file());
                 break;
         }
-        if (round % 50 == 7) t.world.signal(SIGSTOP);
-        if (round % 50 == 9) t.world.signal(SIGCONT);
+        if (round % 50 == 7) t.world.sendSignal(SIGSTOP);
+        if (round % 50 == 9) t.world.sendSignal(SIGCONT);
         if (round % 4 == 0) send();
-        (void)t.world.until([] { return false; }, 1);
+        (void)t.world.waitUntil([] { return false; }, 1);
         if (round % 100 == 99) {
             // A checkpoint: a whole version comes into force, and only its nodes get what comes later.
             fs::remove(t.file());
             t.put(version());
             REQUIRE(t.inForce(number));
             inForce = number;
-            REQUIRE(t.world.until([&] { return answered == sent; }));
+            REQUIRE(t.world.waitUntil([&] { return answered == sent; }));
             std::vector<std::size_t> before;
             for (const auto& node : t.nodes) before.push_back(node->requests.size());
             CHECK(t.served(4) == 4);
@@ -274,21 +276,21 @@
             }
         }
     }
-    REQUIRE(t.world.until([&] { return answered == sent; }));
-    const long long swaps = t.world.counter("files_accepted");
+    REQUIRE(t.world.waitUntil([&] { return answered == sent; }));
+    const long long swaps = t.world.readCounter("files_accepted");
     CHECK_MESSAGE(swaps > 200, swaps);
     CHECK(good == sent);                  // nothing lost, nothing failed, nothing refused
     CHECK(t.nodes[4]->requests.empty());  // only whole versions were ever in force
     std::map<std::string, int> seen;
     for (const auto& node : t.nodes)
-        for (const HttpText& request : node->requests) ++seen[request.header("Req-Id")];
+        for (const ParsedHttpMessage& request : node->requests) ++seen[request.header("Req-Id")];
     for (const auto& [id, times] : seen) CHECK_MESSAGE(times == 1, id);
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("files: ten versions at once, the last one wins; two parts come into force together") {
     FileWorld t;
-    t.world.nodes["path"] = t.dir();
+    t.world.nodesSection["path"] = t.dir();
     t.put(t.version(1, {0, 1, 2}));
     t.world.start();
     REQUIRE(t.inForce(1));
@@ -297,7 +299,7 @@
     const auto part = [&](const std::string& name, std::uint64_t v, int first) {
         const std::string text = "version: " + std::to_string(v) + "\ncount: 2\npart: \"" + name +
                                  "\"\nparts: \"a\" parts: \"b\"\n" + t.entry(first) + t.entry(first + 2);
-        std::ofstream(t.dir() + '/' + name + ".textproto") << files::sealed(text, v);
+        std::ofstream(t.dir() + '/' + name + ".textproto") << files::withTrailer(text, v);
     };
     fs::remove(t.file());
     part("a", 12, 0);
@@ -310,7 +312,7 @@
 TEST_CASE("files: a shard's holders share its work by weight, and one that dies fails nobody") {
     FileWorld t;
     const auto weighted = [&](std::uint64_t v, const std::string& first) {
-        return files::sealed(
+        return files::withTrailer(
             "version: " + std::to_string(v) + "\ncount: 3\n" + t.entry(0, first) + t.entry(1) + t.entry(2),
             v);
     };
@@ -318,7 +320,7 @@
     t.world.start();
     REQUIRE(t.inForce(1));
     const auto piece = [&](int i) {
-        std::string text = t.world.request("w" + std::to_string(++t.asked));
+        std::string text = t.world.makeRequest("w" + std::to_string(++t.asked));
         char name[17];
         std::snprintf(name, sizeof name, "%016x", i);
         return text.replace(text.find("7f3a9c21e0b4d655"), 16, name);
@@ -327,7 +329,7 @@
     const auto place = [&](int i) {
         std::vector<std::size_t> before;
         for (const auto& node : t.nodes) before.push_back(node->requests.size());
-        CHECK(t.world.ask(piece(i)).code() == 200);
+        CHECK(t.world.sendRequest(piece(i)).statusCode() == 200);
         for (std::size_t n = 0; n < t.nodes.size(); ++n)
             if (t.nodes[n]->requests.size() > before[n]) return n;
         return t.nodes.size();
@@ -341,24 +343,25 @@
     CHECK(of(2) > 5);
     CHECK(of(3) == 0);
     // Node 1 dies: its pieces are served by the others, all others stay.
-    t.nodes[1] = std::make_unique<HttpNode>(t.world.base.get(), serve);
+    t.nodes[1] = std::make_unique<StubHttpNode>(t.world.base.get(), replyWithRequestId);
     for (int i = 0; i < 60; ++i) {
         const std::size_t now = place(i);
         if (first[static_cast<std::size_t>(i)] != 1) CHECK(now == first[static_cast<std::size_t>(i)]);
         CHECK(now != 1);
     }
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("files: the log as JSON lines, whatever stands in a file") {
     FileWorld t;
     t.put(t.version(1, {0}));
-    t.world.arguments = {"--log", "json"};
+    t.world.extraArguments = {"--log", "json"};
     t.world.start();
     REQUIRE(t.inForce(1));
-    t.put(files::sealed("version: 2\ncount: 1\nnode { name: \"\\n\\\"\\377\" dial: \"x\" shard: 1 }\n", 2));
+    t.put(files::withTrailer("version: 2\ncount: 1\nnode { name: \"\\n\\\"\\377\" dial: \"x\" shard: 1 }\n",
+                             2));
     REQUIRE(t.refused("is not 1 to 128 letters"));
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
     std::istringstream log(t.world.log);
     int lines = 0, refusals = 0;
     for (std::string line; std::getline(log, line); ++lines) {
@@ -376,19 +379,19 @@
     t.world.config["settings"]["Rules"].update(
         {{"ColdShare", 0.25}, {"WarmWithinMs", 20000}, {"FallMs", 1000}});
     t.world.config["settings"]["FamilyInfo"]["ColdUnits"] = 8;
-    t.world.nodes["depart_s"] = 30;
+    t.world.nodesSection["depart_s"] = 30;
     t.put(t.version(1, {0, 1, 2, 3}));
     t.world.start();
     REQUIRE(t.inForce(1));
     const auto units = [&](std::size_t node) {  // what it gets of a burst that would be much for a cold one
         const std::size_t before = t.nodes[node]->requests.size();
         for (int i = 0; i < 80; ++i) {
-            std::string text = t.world.request("b" + std::to_string(++t.asked));
+            std::string text = t.world.makeRequest("b" + std::to_string(++t.asked));
             char name[17];
             std::snprintf(name, sizeof name, "%016x", i);
             t.world.connect().send(text.replace(text.find("7f3a9c21e0b4d655"), 16, name));
         }
-        (void)t.world.until([] { return false; }, 600);
+        (void)t.world.waitUntil([] { return false; }, 600);
         return 2 * (t.nodes[node]->requests.size() - before);
     };
     REQUIRE(units(3) > 20);
@@ -397,7 +400,7 @@
     t.put(t.version(3, {0, 1, 2, 3}));
     REQUIRE(t.inForce(3));
     CHECK(units(3) > 20);  // the same process: it is warm
-    t.nodes[3] = std::make_unique<HttpNode>(t.world.base.get(), serve);
+    t.nodes[3] = std::make_unique<StubHttpNode>(t.world.base.get(), replyWithRequestId);
     t.put(t.version(4, {0, 1, 2, 3}));  // the same name at another address
     REQUIRE(t.inForce(4));
     CHECK(units(3) <= 16);  // a just started one gets what the cold rule allows
--- a/tests/limedrum/decide_test.cpp
+++ b/tests/limedrum/decide_test.cpp
@@ -18,7 +18,7 @@
     d.pass(2100, 10);
     bool bid = false;
     for (const Action& a : d.all) {
-        const auto* tell = std::get_if<TellPeer>(&a);
+        const auto* tell = std::get_if<SendPeerMessage>(&a);
         if (tell == nullptr) continue;
         bid = true;
         CHECK_MESSAGE(tell->text.find(":40:") != std::string::npos,
@@ -32,7 +32,7 @@
 TEST_CASE("a volume has no more hosts than the tier") {
     Settings s = plainSettings();
     s.hosts = 1;
-    s.mayTellPeers = false;
+    s.mayMessagePeers = false;
     s.plans[0] = {.rate = 10, .limit = 100, .limitDepth = 40};
     Driver d(s);
     RequestEvent liar = request("liar", 2000, 0);
@@ -51,7 +51,7 @@
     saturate(d, 0, 8000);
     int refusals = 0;
     for (const Action& a : d.all) {
-        const auto* refuse = std::get_if<Refuse>(&a);
+        const auto* refuse = std::get_if<RefuseRequest>(&a);
         if (refuse == nullptr) continue;
         ++refusals;
         CHECK(refuse->retryAfterMs > 0);
@@ -66,8 +66,8 @@
     }
     silent.pass(990);
     const auto did = silent.give(991, request("later", 1991, 0));
-    REQUIRE(Driver::count<Refuse>(did, "later") == 1);
-    CHECK(std::get<Refuse>(did.front()).retryAfterMs == 1000);
+    REQUIRE(Driver::count<RefuseRequest>(did, "later") == 1);
+    CHECK(std::get<RefuseRequest>(did.front()).retryAfterMs == 1000);
 }
 
 // Guards against thinning a volume's most precious requests like its cheapest.
@@ -90,7 +90,7 @@
     s.rules.fallMs = 1000;
     s.coldUnits = 1;  // of which this host's part covers nothing
     Driver d(s);
-    d.give(0, ListEvent{ListKind::update, {{.node = 100, .cell = 0, .bootMs = 1}}});
+    d.give(0, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 1}}});
     RequestEvent late = request("late", 400, 0);  // a client's repeat: it is due at its end
     d.give(0, request("first", 1000, 0));
     d.give(1, late);
@@ -107,7 +107,7 @@
     Limits limits;
     Counters counters;
     Clock clock;
-    Facade facade(plainSettings(), 1, clock.nowMs(), {});
+    SchedulerFacade facade(plainSettings(), 1, clock.nowMs(), {});
     Dispatcher dispatcher(facade, clock, limits, counters,
                           {[](double) {}, [](const PeerMessage&) {}, [](const std::string&) {}}, {});
     const auto entry = [](int i, martencove::NodeState state) {
@@ -117,9 +117,9 @@
         return e;
     };
     for (int i = 1; i <= 500; ++i)
-        dispatcher.learn(
+        dispatcher.updateNodes(
             {i, false, {entry(i, martencove::NodeState::ready), entry(i - 1, martencove::NodeState::gone)}});
-    CHECK(dispatcher.knownNodes() == 1);
-    dispatcher.learn({501, true, {entry(900, martencove::NodeState::ready)}});
-    CHECK(dispatcher.knownNodes() == 1);
+    CHECK(dispatcher.knownNodeCount() == 1);
+    dispatcher.updateNodes({501, true, {entry(900, martencove::NodeState::ready)}});
+    CHECK(dispatcher.knownNodeCount() == 1);
 }
--- a/tests/limedrum/driver.h
+++ b/tests/limedrum/driver.h
@@ -18,7 +18,7 @@
     s.maxUnits = 8;
     s.attemptCap = 3;
     s.mayCancel = true;
-    s.mayTellPeers = true;
+    s.mayMessagePeers = true;
     s.hosts = 4;
     return s;
 }
@@ -29,7 +29,7 @@
     r.volume = "v";
     r.expiresMs = expiresMs;
     r.units = 2;
-    r.cell = cell;
+    r.shard = cell;
     return r;
 }
 
@@ -37,8 +37,8 @@
 public:
     explicit Driver(const Settings& settings, std::uint64_t seed = 1, double startMs = 0, int nodes = 2)
         : scheduler_(settings, seed, startMs), nowMs(startMs) {
-        ListEvent list{ListKind::restored, {}};
-        for (int i = 0; i < nodes; ++i) list.entries.push_back({.node = NodeId(100 + i), .cell = i});
+        NodeListEvent list{NodeListKind::restored, {}};
+        for (int i = 0; i < nodes; ++i) list.entries.push_back({.node = NodeId(100 + i), .shard = i});
         give(startMs, list);
     }
     std::vector<Action> give(double atMs, const Event& event) { return step(atMs, {event}); }
@@ -50,7 +50,7 @@
     }
     /// Lets time pass in small steps, as reminders would.
     void pass(double untilMs, double stepMs = 2) {
-        while (nowMs < untilMs) give(std::min(untilMs, nowMs + stepMs), ReminderEvent{1});
+        while (nowMs < untilMs) give(std::min(untilMs, nowMs + stepMs), TimerFiredEvent{1});
     }
     std::vector<Action> outcome(double atMs, const RequestId& id, int attempt, NodeId node, Outcome what,
                                 double tookMs = 10) {
@@ -58,8 +58,8 @@
                                        .attempt = attempt,
                                        .node = node,
                                        .outcome = what,
-                                       .tookMs = tookMs,
-                                       .last = what == Outcome::done});
+                                       .durationMs = tookMs,
+                                       .requestFinished = what == Outcome::done});
     }
     template <typename A>
     static int count(const std::vector<Action>& actions, const RequestId& id = "") {
@@ -74,10 +74,12 @@
         }
         return n;
     }
-    int sends(const RequestId& id = "") const { return count<Send>(all, id); }
-    int answers(const RequestId& id = "") const { return count<Refuse>(all, id) + count<Fail>(all, id); }
-    std::string handOver() { return scheduler_.handOver(nowMs); }
-    bool takeOver(const std::string& text) { return scheduler_.takeOver(nowMs, text); }
+    int sends(const RequestId& id = "") const { return count<SendAttempt>(all, id); }
+    int answers(const RequestId& id = "") const {
+        return count<RefuseRequest>(all, id) + count<FailRequest>(all, id);
+    }
+    std::string handOver() { return scheduler_.exportState(nowMs); }
+    bool takeOver(const std::string& text) { return scheduler_.importState(nowMs, text); }
     std::size_t tableSize() const { return scheduler_.tableSize(); }
 
 private:
@@ -99,7 +101,7 @@
         RequestEvent r = request(std::to_string(t), t + 1000, 0);
         r.classNo = i % classes;
         for (const Action& a : d.give(t, r)) {
-            const auto* send = std::get_if<Send>(&a);
+            const auto* send = std::get_if<SendAttempt>(&a);
             if (send == nullptr) continue;
             ++sent[r.classNo];
             d.outcome(t, send->id, 0, 100, Outcome::done, i % 4 < 2 ? 10 : 700);
--- a/tests/limedrum/fleet_test.cpp
+++ b/tests/limedrum/fleet_test.cpp
@@ -24,14 +24,16 @@
         Settings s = settings_;
         s.self = host;
         hosts_[host] = std::make_unique<Scheduler>(s, 100 + ++starts_, nowMs);
-        act(host, nowMs, ListEvent{ListKind::restored, {{.node = 100, .cell = 0, .bootMs = bootMs}}});
+        act(host, nowMs,
+            NodeListEvent{NodeListKind::restored, {{.node = 100, .shard = 0, .bootMs = bootMs}}});
     }
     void kill(int host) { hosts_[host].reset(); }
     /// The node has started then, and all hosts that run are told.
     void tellStart(double nowMs, double bootMs) {
         for (int i = 0; i < settings_.hosts; ++i)
             if (hosts_[i] != nullptr)
-                act(i, nowMs, ListEvent{ListKind::update, {{.node = 100, .cell = 0, .bootMs = bootMs}}});
+                act(i, nowMs,
+                    NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = bootMs}}});
     }
     void ask(int host, double nowMs, double units) {
         if (hosts_[host] == nullptr) return;
@@ -50,7 +52,7 @@
             if (hosts_[to] != nullptr) act(to, nowMs, event);
         }
         for (int i = 0; i < settings_.hosts; ++i) {
-            if (hosts_[i] != nullptr) act(i, nowMs, ReminderEvent{1});
+            if (hosts_[i] != nullptr) act(i, nowMs, TimerFiredEvent{1});
         }
     }
     double most(double windowMs) const {
@@ -83,18 +85,18 @@
             const std::vector<Action> actions = hosts_[host]->handle(nowMs, events);
             events.clear();
             for (const Action& action : actions) {
-                if (const auto* refuse = std::get_if<Refuse>(&action)) {
+                if (const auto* refuse = std::get_if<RefuseRequest>(&action)) {
                     longestRefusedMs_ = std::max(longestRefusedMs_, nowMs - askedMs_[refuse->id]);
-                } else if (const auto* tell = std::get_if<TellPeer>(&action)) {
+                } else if (const auto* tell = std::get_if<SendPeerMessage>(&action)) {
                     ++messages_;
                     if (chance_.draw() < lostPart_) continue;
                     mail_.emplace(nowMs + 2 + 20 * chance_.draw(),
-                                  std::pair(tell->to, Event(PeerEvent{host, tell->text})));
-                } else if (const auto* send = std::get_if<Send>(&action)) {
+                                  std::pair(tell->peer, Event(PeerMessageEvent{host, tell->text})));
+                } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
                     const double late = lateMs_ > 0 ? lateMs_ * chance_.draw() : 0;
                     sent_.emplace_back(nowMs + late, units_[send->id]);
-                    events.push_back(
-                        OutcomeEvent{.id = send->id, .attempt = 0, .node = 100, .tookMs = 1, .last = true});
+                    events.push_back(OutcomeEvent{
+                        .id = send->id, .attempt = 0, .node = 100, .durationMs = 1, .requestFinished = true});
                 }
             }
         }
@@ -235,16 +237,16 @@
 TEST(SharedBudgets, WhatNoKeeperDealtAndAbsurdAsksArePassedOver) {
     Settings s = coldFleet(60);
     Driver d(s, 1, 10000, 1);
-    d.give(10000, ListEvent{ListKind::update, {{.node = 100, .cell = 0, .bootMs = 9000}}});
+    d.give(10000, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 9000}}});
     d.pass(12000, 10);
-    const int before = Driver::count<TellPeer>(d.all);
+    const int before = Driver::count<SendPeerMessage>(d.all);
     for (int sender = 1; sender < 60; ++sender) {
         for (const std::string text : {"a3 n 100 0 9000 99999999999 12000", "a3 n 999 0 9000 10 12000",
                                        "a3 v 100 0 77 10 12000", "a3 n 100 9 9000 10 12000", "a3 x 1 0 1 1 1",
                                        "g3 n 100 0 9000 10 99000", "a3 n 100 0 99000 10 12000"})
-            d.give(12000, PeerEvent{sender, text});
+            d.give(12000, PeerMessageEvent{sender, text});
     }
-    EXPECT_EQ(Driver::count<TellPeer>(d.all), before);
+    EXPECT_EQ(Driver::count<SendPeerMessage>(d.all), before);
     d.give(12001, request("a", 13001, 0));
     EXPECT_EQ(d.sends("a"), 0);
 }
@@ -274,12 +276,12 @@
             std::string text = "b3 " + std::to_string(round + 1);
             for (int cell = 0; cell < 10; ++cell)
                 text += ' ' + std::to_string((peer + cell) % kCells) + ":20:0:20:20:0:10";
-            d.give(round * 2000.0 + 2002, PeerEvent{peer, text});
+            d.give(round * 2000.0 + 2002, PeerMessageEvent{peer, text});
         }
         d.pass(round * 2000.0 + 2080, 10);
         actions = std::max(actions, d.all.size());
         for (const Action& a : d.all) {
-            if (const auto* tell = std::get_if<TellPeer>(&a)) bytes += tell->text.size();
+            if (const auto* tell = std::get_if<SendPeerMessage>(&a)) bytes += tell->text.size();
         }
         table = std::max(table, d.tableSize());
     }
@@ -298,12 +300,12 @@
             if (i % 400 == 4) {
                 const std::string sum = "s3 " + std::to_string(i / 400) +
                                         " 0:9000:0:900000:400:400:" + std::to_string(10 * bidders);
-                for (int peer = 1; peer < 400; ++peer) d.give(at, PeerEvent{peer, sum});
+                for (int peer = 1; peer < 400; ++peer) d.give(at, PeerMessageEvent{peer, sum});
             }
             const RequestId id = "r" + std::to_string(i);
             const auto did = d.give(at + 1, request(id, at + 1001, 0));
             for (const Action& a : did) {
-                if (const auto* send = std::get_if<Send>(&a)) {
+                if (const auto* send = std::get_if<SendAttempt>(&a)) {
                     sends += at > 10000;
                     d.outcome(at + 1, send->id, 0, 100, Outcome::done, i % 4 == 0 ? 10 : 700);
                 }
@@ -326,7 +328,7 @@
     d.pass(2001, 10);
     bool told = false;
     for (const Action& a : d.all) {
-        const auto* tell = std::get_if<TellPeer>(&a);
+        const auto* tell = std::get_if<SendPeerMessage>(&a);
         told = told || (tell != nullptr && tell->text.ends_with(":0:20:10"));  // served, pressed, hosts
     }
     EXPECT_TRUE(told);
@@ -337,9 +339,10 @@
                 d.all.clear();
                 const std::string bid =
                     "b3 " + std::to_string(round) + " 0:200:0:200:30:" + std::to_string(pressed);
-                for (int peer = 1; peer < 4; ++peer) d.give(2000.0 * round + 5, PeerEvent{peer, bid + ":10"});
+                for (int peer = 1; peer < 4; ++peer)
+                    d.give(2000.0 * round + 5, PeerMessageEvent{peer, bid + ":10"});
                 d.pass(2000.0 * round + 90, 5);
-                if (const int sums = Driver::count<TellPeer>(d.all); sums > 2) return sums;
+                if (const int sums = Driver::count<SendPeerMessage>(d.all); sums > 2) return sums;
             }
             return 0;
         };
@@ -355,7 +358,7 @@
         const RequestId id = "n" + std::to_string(i);
         const double at = fromMs + everyMs * i;
         for (const Action& a : d.give(at, request(id, at + 900, -1))) {
-            const auto* send = std::get_if<Send>(&a);
+            const auto* send = std::get_if<SendAttempt>(&a);
             if (send == nullptr || send->id != id) continue;
             below += send->node < node;
             d.outcome(at + tookMs, id, 0, send->node, Outcome::done, tookMs);
@@ -406,12 +409,12 @@
             if (std::fmod(t, 2000) == 20) {
                 const std::string sum = "s3 " + std::to_string(std::lround(t) / 2000) +
                                         " 0:9000:0:900000:400:" + std::to_string(pressed) + ":400";
-                for (int peer = 1; peer < 50; ++peer) d.give(t, PeerEvent{peer, sum});
+                for (int peer = 1; peer < 50; ++peer) d.give(t, PeerMessageEvent{peer, sum});
             }
             if (t < next) continue;
             next += everyMs;
             const RequestId id = "r" + std::to_string(++offered);
-            if (Driver::count<Send>(d.give(t, request(id, t + 1000, 0)), id) == 0) continue;
+            if (Driver::count<SendAttempt>(d.give(t, request(id, t + 1000, 0)), id) == 0) continue;
             ++sends;
             d.outcome(t + 5, id, 0, 100, Outcome::done, 5);
         }
--- a/tests/limedrum/memory_test.cpp
+++ b/tests/limedrum/memory_test.cpp
@@ -45,7 +45,7 @@
         RequestEvent r = request(name + std::to_string(i), d.nowMs + 400);
         r.volume = name.starts_with('w') ? "w" : "v";
         for (const Action& a : d.give(d.nowMs, r)) {
-            if (const auto* send = std::get_if<Send>(&a)) {
+            if (const auto* send = std::get_if<SendAttempt>(&a)) {
                 units += r.units;
                 d.outcome(d.nowMs, send->id, 0, send->node, Outcome::done, 1);
             }
@@ -82,7 +82,7 @@
     CHECK(next.answers() >= 1);
 
     Driver other(plainSettings(), 2, 11'500);
-    other.give(11'500, ListEvent{ListKind::full, {{.node = 100, .cell = 0, .bootMs = 11'400}}});
+    other.give(11'500, NodeListEvent{NodeListKind::full, {{.node = 100, .shard = 0, .bootMs = 11'400}}});
     REQUIRE(other.takeOver(text));
     CHECK(other.handOver().find("\nnode 100 ") == std::string::npos);  // nothing is known of it
 }
--- a/tests/limedrum/scheduler_test.cpp
+++ b/tests/limedrum/scheduler_test.cpp
@@ -19,7 +19,7 @@
     d.pass(305);
     EXPECT_EQ(d.answers("out"), 1);
     EXPECT_EQ(d.answers("noNode"), 1);
-    EXPECT_EQ(Driver::count<Cancel>(d.all, "out"), 1);
+    EXPECT_EQ(Driver::count<CancelAttempt>(d.all, "out"), 1);
     d.pass(2000);
     EXPECT_EQ(d.sends("out"), 1);
     EXPECT_EQ(d.answers(), 2);
@@ -30,7 +30,7 @@
     d.give(0, request("a", 1000));
     d.outcome(20, "a", 0, 100, Outcome::done);
     d.give(30, request("b", 1030));
-    d.give(90000, ReminderEvent{1});
+    d.give(90000, TimerFiredEvent{1});
     EXPECT_EQ(d.answers("a"), 0);
     EXPECT_EQ(d.answers("b"), 1);
     EXPECT_EQ(d.sends(), 2);
@@ -50,31 +50,31 @@
 
 TEST(Effects, UnsafeIsNeitherRepeatedNorRefusedOnceItMayHaveRun) {
     Settings s = plainSettings();
-    s.classes[0].repeat = Repeat::unsafe;
+    s.classes[0].idempotency = Idempotency::nonIdempotent;
     s.classes[0].repeatWindowMs = 900;  // means nothing for this class
     Driver d(s);
     d.give(0, request("a", 1000));
     d.outcome(10, "a", 0, 100, Outcome::reset);
     d.pass(1100);
     EXPECT_EQ(d.sends("a"), 1);
-    EXPECT_EQ(Driver::count<Fail>(d.all, "a"), 1);
-    EXPECT_EQ(Driver::count<Refuse>(d.all, "a"), 0);
+    EXPECT_EQ(Driver::count<FailRequest>(d.all, "a"), 1);
+    EXPECT_EQ(Driver::count<RefuseRequest>(d.all, "a"), 0);
 }
 
 TEST(Effects, UnsafeIsTriedAgainWhenProvedNotToHaveRun) {
     Settings s = plainSettings();
-    s.classes[0].repeat = Repeat::unsafe;
+    s.classes[0].idempotency = Idempotency::nonIdempotent;
     Driver d(s);
     d.give(0, request("a", 1000));
-    d.outcome(10, "a", 0, 100, Outcome::full);
+    d.outcome(10, "a", 0, 100, Outcome::rejected);
     d.pass(300);
     EXPECT_EQ(d.sends("a"), 2);
 }
 
 TEST(Effects, KeyedIsRepeatedOnlyInsideItsWindowAndNotRefusedAfter) {
     Settings s = plainSettings();
-    s.classes[0].repeat = Repeat::keyed;
-    s.classes[0].group = RepeatGroup::cell;
+    s.classes[0].idempotency = Idempotency::deduplicated;
+    s.classes[0].dedupScope = DedupScope::shard;
     s.classes[0].repeatWindowMs = 400;
     Driver d(s);
     d.give(0, request("early", 1000));
@@ -86,46 +86,46 @@
     d.outcome(680, "late", 0, 100, Outcome::reset);
     d.pass(1400);
     EXPECT_EQ(d.sends("late"), 1);
-    EXPECT_EQ(Driver::count<Fail>(d.all, "late"), 1);
-    EXPECT_EQ(Driver::count<Refuse>(d.all, "late"), 0);
+    EXPECT_EQ(Driver::count<FailRequest>(d.all, "late"), 1);
+    EXPECT_EQ(Driver::count<RefuseRequest>(d.all, "late"), 0);
 }
 
 // Guards against a copy that is decided in time and reaches its node when that has forgotten the first one:
 // what it waits for on its way (a connection, a turn of the loop) has to fit in too.
 TEST(Effects, KeyedRepeatSaysByWhenItsLastByteHasToBeOut) {
     Settings s = plainSettings();
-    s.classes[0].repeat = Repeat::keyed;
+    s.classes[0].idempotency = Idempotency::deduplicated;
     s.classes[0].repeatWindowMs = 400;
     s.tickMs = 5;
     Driver d(s);
     const auto sent = [&] {
         for (const Action& a : d.last)
-            if (const auto* send = std::get_if<Send>(&a)) return *send;
-        return Send{};
+            if (const auto* send = std::get_if<SendAttempt>(&a)) return *send;
+        return SendAttempt{};
     };
     d.give(100, request("a", 1100));
-    EXPECT_TRUE(std::isinf(sent().startWithinMs));
+    EXPECT_TRUE(std::isinf(sent().lastByteWithinMs));
     d.outcome(110, "a", 0, 100, Outcome::reset);
-    while (d.sends("a") < 2 && d.nowMs < 490) d.give(d.nowMs + 2, ReminderEvent{1});
+    while (d.sends("a") < 2 && d.nowMs < 490) d.give(d.nowMs + 2, TimerFiredEvent{1});
     ASSERT_EQ(d.sends("a"), 2);
-    EXPECT_DOUBLE_EQ(d.nowMs + sent().startWithinMs, 100 + 400 - 2 * 5);
+    EXPECT_DOUBLE_EQ(d.nowMs + sent().lastByteWithinMs, 100 + 400 - 2 * 5);
 }
 
 TEST(Effects, KeyedNewObjectStaysInItsCellOnceItMayHaveRun) {
     Settings s = plainSettings();
-    s.classes[0].repeat = Repeat::keyed;
-    s.classes[0].group = RepeatGroup::cell;
+    s.classes[0].idempotency = Idempotency::deduplicated;
+    s.classes[0].dedupScope = DedupScope::shard;
     s.classes[0].repeatWindowMs = 900;
     Driver d(s);
     const auto first = d.give(0, request("a", 1000, -1));
     const auto sent =
         std::find_if(first.begin(), first.end(), [](const Action& a) { return a.index() == 0; });
     ASSERT_NE(sent, first.end());
-    const NodeId node = std::get<Send>(*sent).node;
+    const NodeId node = std::get<SendAttempt>(*sent).node;
     d.outcome(10, "a", 0, node, Outcome::error);
     d.pass(200);
     for (const Action& a : d.all) {
-        const auto* send = std::get_if<Send>(&a);
+        const auto* send = std::get_if<SendAttempt>(&a);
         EXPECT_TRUE(send == nullptr || send->node == node);
     }
     EXPECT_EQ(d.sends("a"), 2);
@@ -135,7 +135,7 @@
     Driver d(plainSettings());
     d.give(0, request("a", 1000));
     for (int i = 0; i < 6; ++i) {
-        d.outcome(d.nowMs + 10, "a", i, 100, Outcome::full);
+        d.outcome(d.nowMs + 10, "a", i, 100, Outcome::rejected);
         d.pass(d.nowMs + 100);
         EXPECT_LE(d.sends("a"), std::min(i + 2, 3));
     }
@@ -146,14 +146,14 @@
 // ---- Rule 3: drains and the list ----
 
 TEST(Drains, NothingGoesToANodeThatDrainsIsGoneOrLeftOut) {
-    for (const auto& [kind, state] :
-         {std::pair{ListKind::update, NodeState::draining}, std::pair{ListKind::update, NodeState::gone},
-          std::pair{ListKind::full, NodeState::serving}}) {
+    for (const auto& [kind, state] : {std::pair{NodeListKind::update, NodeState::draining},
+                                      std::pair{NodeListKind::update, NodeState::gone},
+                                      std::pair{NodeListKind::full, NodeState::serving}}) {
         Driver d(plainSettings());
-        ListEvent news{kind, {}};
+        NodeListEvent news{kind, {}};
         // The full list leaves node 100 out.
-        news.entries.push_back({.node = NodeId(kind == ListKind::full ? 101 : 100),
-                                .cell = kind == ListKind::full ? 1 : 0,
+        news.entries.push_back({.node = NodeId(kind == NodeListKind::full ? 101 : 100),
+                                .shard = kind == NodeListKind::full ? 1 : 0,
                                 .state = state});
         d.give(10, news);
         d.give(11, request("a", 500, 0));
@@ -165,35 +165,35 @@
 
 TEST(Drains, ASuccessorInTheSameCellTakesWhatWaits) {
     Driver d(plainSettings());
-    d.give(10, ListEvent{ListKind::update, {{.node = 100, .cell = 0, .state = NodeState::gone}}});
+    d.give(10, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .state = NodeState::gone}}});
     d.give(11, request("a", 500, 0));
-    d.give(40, ListEvent{ListKind::update, {{.node = 200, .cell = 0}}});
+    d.give(40, NodeListEvent{NodeListKind::update, {{.node = 200, .shard = 0}}});
     d.pass(60);
     EXPECT_EQ(d.sends("a"), 1);
 }
 
 TEST(Drains, TheListIsAskedForAtOnceAndAgainAfterFailure) {
     Settings s = plainSettings();
-    s.listOnRequest = true;
+    s.nodeListOnRequest = true;
     Driver d(s);
-    EXPECT_EQ(Driver::count<Subscribe>(d.all), 1);
-    d.give(100, ListEvent{ListKind::unavailable, {}});
+    EXPECT_EQ(Driver::count<SubscribeToNodeList>(d.all), 1);
+    d.give(100, NodeListEvent{NodeListKind::unavailable, {}});
     d.pass(3000);
-    EXPECT_EQ(Driver::count<Subscribe>(d.all), 2);
-    d.give(3000, ListEvent{ListKind::update, {}});
+    EXPECT_EQ(Driver::count<SubscribeToNodeList>(d.all), 2);
+    d.give(3000, NodeListEvent{NodeListKind::update, {}});
     d.pass(20000);
-    EXPECT_EQ(Driver::count<Subscribe>(d.all), 2);
-    d.give(20000, ListEvent{ListKind::unavailable, {}});
+    EXPECT_EQ(Driver::count<SubscribeToNodeList>(d.all), 2);
+    d.give(20000, NodeListEvent{NodeListKind::unavailable, {}});
     d.pass(23000);
-    EXPECT_EQ(Driver::count<Subscribe>(d.all), 3);
+    EXPECT_EQ(Driver::count<SubscribeToNodeList>(d.all), 3);
 }
 
 TEST(Drains, AnUnansweredSubscriptionIsAskedForAgain) {
     Settings s = plainSettings();
-    s.listOnRequest = true;
+    s.nodeListOnRequest = true;
     Driver d(s);
     d.pass(9500, 50);
-    EXPECT_EQ(Driver::count<Subscribe>(d.all), 2);
+    EXPECT_EQ(Driver::count<SubscribeToNodeList>(d.all), 2);
 }
 
 // ---- Rule 4: cold nodes ----
@@ -205,7 +205,7 @@
     s.rules.overloadFactor = 2;
     s.rules.fallMs = 1000;
     s.coldUnits = 40;  // 10 for this host, where nobody can be asked for more
-    s.mayTellPeers = false;
+    s.mayMessagePeers = false;
     return s;
 }
 
@@ -214,11 +214,11 @@
 TEST(ColdNodes, NoWindowExceedsThisHostsPartWhateverTheOutcome) {
     Driver d(coldSettings());
     d.pass(1500);
-    d.give(1500, ListEvent{ListKind::update, {{.node = 100, .cell = 0, .bootMs = 1400}}});
+    d.give(1500, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 1400}}});
     for (int i = 0; i < 60; ++i) {
         const RequestId id = "r" + std::to_string(i);
         const auto did = d.give(1502 + 10 * i, request(id, 2500 + 10 * i, 0));
-        if (Driver::count<Send>(did, id) > 0) d.outcome(d.nowMs + 1, id, 0, 100, Outcome::done, 1);
+        if (Driver::count<SendAttempt>(did, id) > 0) d.outcome(d.nowMs + 1, id, 0, 100, Outcome::done, 1);
     }
     EXPECT_GE(unitsSent(d, 2), 4);
     EXPECT_LE(unitsSent(d, 2), 10);
@@ -226,7 +226,7 @@
 
 TEST(ColdNodes, AFreshHostSendsNothingWithinTheWindowOfItsPastLife) {
     Driver d(coldSettings(), 1, 50000);
-    d.give(50001, ListEvent{ListKind::update, {{.node = 100, .cell = 0, .bootMs = 49900}}});
+    d.give(50001, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 49900}}});
     d.give(50002, request("a", 51000, 0));
     d.pass(50100);
     EXPECT_EQ(d.sends(), 0);
@@ -247,7 +247,7 @@
     for (int i = 0; i < 40; ++i) {
         const RequestId id = "r" + std::to_string(i);
         const auto did = d.give(9020 + 5 * i, request(id, 10020 + 5 * i, 0));
-        if (Driver::count<Send>(did, id) > 0) d.outcome(d.nowMs + 1, id, 0, 100, Outcome::done, 1);
+        if (Driver::count<SendAttempt>(did, id) > 0) d.outcome(d.nowMs + 1, id, 0, 100, Outcome::done, 1);
     }
     EXPECT_LE(2 * (d.sends() - before), 10);
 }
@@ -257,7 +257,7 @@
 Settings limitSettings() {
     Settings s = plainSettings();
     s.plans[0] = {.rate = 10, .limit = 20, .limitDepth = 40, .limitSlack = 4};
-    s.mayTellPeers = false;
+    s.mayMessagePeers = false;
     return s;
 }
 
@@ -273,7 +273,7 @@
         more.hostsOfVolume = 4;
         const auto did = d.give(10 * i + 10, more);
         for (const Action& a : did) {
-            if (const auto* send = std::get_if<Send>(&a))
+            if (const auto* send = std::get_if<SendAttempt>(&a))
                 d.outcome(d.nowMs, send->id, 0, 100, Outcome::done, 1);
         }
     }
@@ -290,7 +290,7 @@
         r.hostsOfVolume = 4;
         const auto did = d.give(20000, r);
         for (const Action& a : did) {
-            if (const auto* send = std::get_if<Send>(&a))
+            if (const auto* send = std::get_if<SendAttempt>(&a))
                 d.outcome(20000, send->id, 0, 100, Outcome::done, 1);
         }
     }
@@ -353,7 +353,7 @@
     for (int i = 0; i < 10; ++i) {
         const RequestId id = "r" + std::to_string(i);
         d.give(10 * i, request(id, 10 * i + 900, i));
-        d.outcome(10 * i + 5, id, 0, NodeId(100 + i), Outcome::full);
+        d.outcome(10 * i + 5, id, 0, NodeId(100 + i), Outcome::rejected);
     }
     d.pass(1200);
     EXPECT_EQ(d.sends(), 10 + 3);
@@ -369,7 +369,7 @@
         const RequestId id = tag + std::to_string(i);
         const auto did = d.give(t, request(id, t + 1000, 0));
         for (const Action& a : did) {
-            if (const auto* send = std::get_if<Send>(&a)) {
+            if (const auto* send = std::get_if<SendAttempt>(&a)) {
                 d.outcome(t, send->id, 0, 100, Outcome::done, i % 4 == 0 ? 10 : 700);
             }
         }
@@ -394,8 +394,8 @@
     };
     const std::string no = std::to_string(round);
     for (int peer = 1; peer < 4; ++peer) {
-        if (peer == 1) d.give(atMs, PeerEvent{peer, "b3 " + no + figures(others, 1)});
-        d.give(atMs, PeerEvent{peer, "s3 " + no + figures(others + own, 2)});
+        if (peer == 1) d.give(atMs, PeerMessageEvent{peer, "b3 " + no + figures(others, 1)});
+        d.give(atMs, PeerMessageEvent{peer, "s3 " + no + figures(others + own, 2)});
     }
     d.pass(atMs + 70);
 }
@@ -433,25 +433,25 @@
     for (int i = 0; i < 10; ++i) d.give(1, request("again" + std::to_string(i), 501, 1));
     for (std::size_t i = 0; d.nowMs < 2100; d.pass(d.nowMs + 10, 10)) {
         for (; i < d.all.size(); ++i) {  // what stays out would count as pressure
-            if (const Action a = d.all[i]; const auto* send = std::get_if<Send>(&a))
+            if (const Action a = d.all[i]; const auto* send = std::get_if<SendAttempt>(&a))
                 d.outcome(d.nowMs, send->id, 0, send->node, Outcome::timedOut, 1);
         }
     }
     for (const Action& a : d.all) {
-        const auto* tell = std::get_if<TellPeer>(&a);
+        const auto* tell = std::get_if<SendPeerMessage>(&a);
         EXPECT_TRUE(tell == nullptr || tell->text.ends_with(":20:0:0:10")) << tell->text;
     }
-    EXPECT_GE(Driver::count<TellPeer>(d.all), 1);
+    EXPECT_GE(Driver::count<SendPeerMessage>(d.all), 1);
 }
 
 TEST(Mechanism, HeldWorkThatCannotBeInTimeIsRefusedLongBeforeItsExpiry) {
     Driver d(coldSettings());
     d.pass(1500);
-    d.give(1500, ListEvent{ListKind::update, {{.node = 100, .cell = 0, .bootMs = 1400}}});
+    d.give(1500, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 1400}}});
     for (int i = 0; i < 40; ++i) {
         const RequestId id = "r" + std::to_string(i);
         const auto did = d.give(1502, request(id, 2502, 0));
-        if (Driver::count<Send>(did, id) > 0) d.outcome(1502, id, 0, 100, Outcome::done, 1);
+        if (Driver::count<SendAttempt>(did, id) > 0) d.outcome(1502, id, 0, 100, Outcome::done, 1);
     }
     d.pass(1750);
     EXPECT_GT(d.answers(), 20);
@@ -488,7 +488,7 @@
         r.planNo = i % 10 == 0 ? 1 : 0;
         const auto did = d.give(t, r);
         for (const Action& a : did) {
-            const auto* send = std::get_if<Send>(&a);
+            const auto* send = std::get_if<SendAttempt>(&a);
             if (send == nullptr) continue;
             if (send->id[0] == 't') ++(std::stoi(send->id.substr(1)) % 10 == 0 ? neighbour : hot);
             d.outcome(t, send->id, 0, 100, Outcome::done, i % 4 == 0 ? 10 : 700);
@@ -521,7 +521,7 @@
     d.pass(2100, 10);
     int bids = 0;
     for (const Action& a : d.all) {
-        if (const auto* tell = std::get_if<TellPeer>(&a)) {
+        if (const auto* tell = std::get_if<SendPeerMessage>(&a)) {
             ++bids;
             EXPECT_LE(tell->text.size(), 256U);
         }
@@ -539,7 +539,7 @@
     d.give(921, request("c", 1900, 0));
     d.pass(1750);
     d.give(1750, request("refused", 2750, 0));
-    EXPECT_EQ(Driver::count<Refuse>(d.last, "refused"), 1);
+    EXPECT_EQ(Driver::count<RefuseRequest>(d.last, "refused"), 1);
     d.give(1751, request("other", 2751, 1));  // another node's requests go on
     EXPECT_EQ(d.sends("other"), 1);
     d.pass(2300);
@@ -566,7 +566,7 @@
         d.give(10.0 * i + 1, request(id, 10.0 * i + 1001, 0));
         d.outcome(10.0 * i + 6, id, 0, 100, Outcome::done, 5);
     }
-    ASSERT_EQ(Driver::count<Cancel>(d.all, "lost"), 1);
+    ASSERT_EQ(Driver::count<CancelAttempt>(d.all, "lost"), 1);
     EXPECT_EQ(d.answers("lost"), 0);
     d.outcome(310, "lost", 0, 100, Outcome::cancelled);
     EXPECT_EQ(d.sends("lost"), 2);
@@ -574,7 +574,7 @@
 
 TEST(LostAnswers, AnUnsafeRequestIsNotRepeated) {
     Settings s = plainSettings();
-    s.classes[0].repeat = Repeat::unsafe;
+    s.classes[0].idempotency = Idempotency::nonIdempotent;
     Driver d(s);
     d.give(0, request("lost", 1000, 0));
     for (int i = 0; i < 30; ++i) {
@@ -582,7 +582,7 @@
         d.give(10.0 * i + 1, request(id, 10.0 * i + 1001, 0));
         d.outcome(10.0 * i + 6, id, 0, 100, Outcome::done, 5);
     }
-    EXPECT_EQ(Driver::count<Cancel>(d.all, "lost"), 0);
+    EXPECT_EQ(Driver::count<CancelAttempt>(d.all, "lost"), 0);
 }
 
 TEST(Hostile, PeerNonsenseAndUnknownThingsArePassedOver) {
@@ -594,15 +594,15 @@
           std::string("s3 0 0:4000000000:1:1:1:1"), std::string(5000, 'x'),
           std::string("s3 18446744073709551616 0:1:1:1:1:1"), std::string("b3 0 9999:1:1:1:1:1"),
           std::string("\0b3", 3)}) {
-        d.give(1, PeerEvent{1, text});
+        d.give(1, PeerMessageEvent{1, text});
     }
-    d.give(1, PeerEvent{-1, "b3 0 0:1:1:1:1:1"});
-    d.give(1, PeerEvent{99, "s3 0 0:1:1:1:1:1"});
+    d.give(1, PeerMessageEvent{-1, "b3 0 0:1:1:1:1:1"});
+    d.give(1, PeerMessageEvent{99, "s3 0 0:1:1:1:1:1"});
     d.outcome(2, "nobody", 3, 100, Outcome::done);
-    d.give(2, AbandonedEvent{"nobody"});
+    d.give(2, RequestAbandonedEvent{"nobody"});
     d.give(2, StreamStartedEvent{"nobody", 0});
-    d.give(2, ProbedEvent{77, true});
-    d.give(2, ReminderEvent{-5});
+    d.give(2, ProbeResultEvent{77, true});
+    d.give(2, TimerFiredEvent{-5});
     RequestEvent odd = request("odd", 1000);
     odd.classNo = 9;
     d.give(3, odd);
@@ -640,7 +640,7 @@
     d.give(0, request("a", 500));
     EXPECT_EQ(d.sends("a"), 1);
     d.pass(5000, 50);
-    EXPECT_EQ(Driver::count<TellPeer>(d.all), 0);
+    EXPECT_EQ(Driver::count<SendPeerMessage>(d.all), 0);
 }
 
 TEST(Life, MemoryStaysBounded) {
@@ -665,9 +665,9 @@
         saturate(d, 0, 6000, 7, "s");
         std::string text;
         for (const Action& a : d.all) {
-            if (const auto* send = std::get_if<Send>(&a))
+            if (const auto* send = std::get_if<SendAttempt>(&a))
                 text += send->id + ">" + std::to_string(send->node) + ' ';
-            if (const auto* refuse = std::get_if<Refuse>(&a)) text += refuse->id + "x ";
+            if (const auto* refuse = std::get_if<RefuseRequest>(&a)) text += refuse->id + "x ";
         }
         return text;
     };
--- a/tests/limedrum/shutdown_test.cpp
+++ b/tests/limedrum/shutdown_test.cpp
@@ -14,10 +14,10 @@
 constexpr double kAnswerByMs = 1400;
 const ShutdownEvent kShutdown{kFirstUntilMs, kFurtherUntilMs, kAnswerByMs};
 
-Settings longDeadlines(Repeat repeat = Repeat::safe) {
+Settings longDeadlines(Idempotency repeat = Idempotency::idempotent) {
     Settings s = plainSettings();
     s.classes[0].deadlineMs = 60'000;
-    s.classes[0].repeat = repeat;
+    s.classes[0].idempotency = repeat;
     return s;
 }
 template <typename A>
@@ -42,21 +42,21 @@
 }
 
 TEST_CASE("shutdown decisions: the answer says whether the request may have run") {
-    Driver d(longDeadlines(Repeat::unsafe));
+    Driver d(longDeadlines(Idempotency::nonIdempotent));
     d.give(0, request("out", 60'000));
     d.give(100, kShutdown);
     d.pass(kAnswerByMs);
-    CHECK(Driver::count<Fail>(d.all, "out") == 1);
-    CHECK(Driver::count<Cancel>(d.all, "out") == 1);
+    CHECK(Driver::count<FailRequest>(d.all, "out") == 1);
+    CHECK(Driver::count<CancelAttempt>(d.all, "out") == 1);
 }
 
 TEST_CASE("shutdown decisions: a request taken after the last first attempt is refused at once") {
     Driver d(longDeadlines());
     d.give(100, kShutdown);
-    CHECK(Driver::count<Send>(d.give(kFirstUntilMs, request("in time", 60'000))) == 1);
+    CHECK(Driver::count<SendAttempt>(d.give(kFirstUntilMs, request("in time", 60'000))) == 1);
     const auto late = d.give(kFirstUntilMs + 1, request("late", 60'000));
-    CHECK(Driver::count<Send>(late) == 0);
-    CHECK(Driver::count<Refuse>(late, "late") == 1);
+    CHECK(Driver::count<SendAttempt>(late) == 0);
+    CHECK(Driver::count<RefuseRequest>(late, "late") == 1);
 }
 
 TEST_CASE("shutdown decisions: a request that waits without an attempt is refused when none may begin") {
@@ -73,7 +73,7 @@
     REQUIRE(d.sends("second") == 0);
     d.give(100, kShutdown);
     d.pass(kFirstUntilMs);
-    CHECK(Driver::count<Refuse>(d.all, "second") == 1);
+    CHECK(Driver::count<RefuseRequest>(d.all, "second") == 1);
     CHECK(d.answers("first") == 0);
 }
 
@@ -81,9 +81,9 @@
     Driver d(longDeadlines());
     d.give(100, kShutdown);
     d.give(kFirstUntilMs, request("r", 60'000));
-    const auto* sent = firstOf<Send>(d.last);
+    const auto* sent = firstOf<SendAttempt>(d.last);
     REQUIRE(sent != nullptr);
-    CHECK(sent->startWithinMs == kFurtherUntilMs - kFirstUntilMs);
+    CHECK(sent->lastByteWithinMs == kFurtherUntilMs - kFirstUntilMs);
     CHECK(sent->timeoutMs == kAnswerByMs - kFirstUntilMs);
     SUBCASE("in time") {
         d.outcome(kFirstUntilMs + 20, "r", 0, 100, Outcome::error);
@@ -103,7 +103,7 @@
     Driver d(longDeadlines());
     d.give(0, request("r", 60'000));
     d.give(100, kShutdown);
-    ListEvent gone{ListKind::update, {{.node = 100, .cell = 0, .state = NodeState::gone}}};
+    NodeListEvent gone{NodeListKind::update, {{.node = 100, .shard = 0, .state = NodeState::gone}}};
     d.give(kFurtherUntilMs - 200, gone);
     d.outcome(kFurtherUntilMs - 200, "r", 0, 100, Outcome::connectFailed);
     REQUIRE(d.answers("r") == 0);
@@ -117,7 +117,7 @@
     d.give(100, kShutdown);
     d.give(200, ShutdownEvent{kFirstUntilMs + 500, kFurtherUntilMs + 500, kAnswerByMs + 500});
     d.give(300, ShutdownEvent{400, 500, 600});
-    CHECK(Driver::count<Refuse>(d.give(401, request("late", 60'000)), "late") == 1);
+    CHECK(Driver::count<RefuseRequest>(d.give(401, request("late", 60'000)), "late") == 1);
     d.pass(600);
     CHECK(d.answers("r") == 1);
 }
@@ -128,7 +128,7 @@
     for (int i = 0; i < 20; ++i) d.give(200 + i, request(std::to_string(i), 60'000, i % 3));
     const auto sent = d.sends();
     const auto actions = d.give(kAnswerByMs + 5000, request("last", 90'000));
-    CHECK(Driver::count<Send>(actions) == 0);
+    CHECK(Driver::count<SendAttempt>(actions) == 0);
     CHECK(d.sends() == sent);
     for (int i = 0; i < 20; ++i) CHECK(d.answers(std::to_string(i)) == 1);
     CHECK(d.answers("last") == 1);
--- a/tests/limedrum/spread_test.cpp
+++ b/tests/limedrum/spread_test.cpp
@@ -16,15 +16,15 @@
 struct Shard {
     explicit Shard(int holders, Settings s = plainSettings(), std::vector<double> weights = {})
         : d(s, 1, 100'000, 0) {
-        ListEvent list{ListKind::full, {}};
+        NodeListEvent list{NodeListKind::full, {}};
         for (int i = 0; i < holders; ++i)
             list.entries.push_back(entry(i, weights.empty() ? 1 : weights[static_cast<std::size_t>(i)]));
         d.give(100'000, list);
     }
     static NodeEntry entry(int i, double weight, NodeState state = NodeState::serving, double bootMs = 0) {
-        return {.node = NodeId(200 + i), .cell = 7, .state = state, .bootMs = bootMs, .weight = weight};
+        return {.node = NodeId(200 + i), .shard = 7, .state = state, .bootMs = bootMs, .weight = weight};
     }
-    void tell(const NodeEntry& e) { d.give(d.nowMs, ListEvent{ListKind::update, {e}}); }
+    void tell(const NodeEntry& e) { d.give(d.nowMs, NodeListEvent{NodeListKind::update, {e}}); }
     RequestEvent read(int piece, double lifeMs = 1000) {
         RequestEvent r = request("q" + std::to_string(++asked), d.nowMs + lifeMs, 7);
         r.key = "piece" + std::to_string(piece);
@@ -34,7 +34,8 @@
     NodeId sentTo(const RequestId& id) const {
         NodeId out = 0;
         for (const Action& a : d.last)
-            if (const auto* send = std::get_if<Send>(&a); send != nullptr && send->id == id) out = send->node;
+            if (const auto* send = std::get_if<SendAttempt>(&a); send != nullptr && send->id == id)
+                out = send->node;
         return out;
     }
     /// Asks for a piece, which is answered at once.
@@ -51,7 +52,7 @@
         while (!todo.empty()) {
             const Action action = todo.back();
             todo.pop_back();
-            const auto* send = std::get_if<Send>(&action);
+            const auto* send = std::get_if<SendAttempt>(&action);
             if (send == nullptr) continue;
             if (units != nullptr) (*units)[send->node] += 2;
             const std::vector<Action> more = d.outcome(d.nowMs, send->id, 0, send->node, Outcome::done, 5);
@@ -111,7 +112,7 @@
 
 TEST_CASE("what fails at one holder goes to another, as its class allows") {
     Settings set = plainSettings();
-    set.classes.push_back({.aimMs = 200, .deadlineMs = 1000, .repeat = Repeat::unsafe});
+    set.classes.push_back({.aimMs = 200, .deadlineMs = 1000, .idempotency = Idempotency::nonIdempotent});
     Shard s(3, set);
     const auto endsWith = [&](int classNo, Outcome outcome) {
         RequestEvent r = s.read(5);
@@ -124,17 +125,17 @@
         s.d.pass(s.d.nowMs + 100);
         NodeId second = 0;
         for (const Action& a : s.d.all)
-            if (const auto* send = std::get_if<Send>(&a); send != nullptr && send->id == r.id)
+            if (const auto* send = std::get_if<SendAttempt>(&a); send != nullptr && send->id == r.id)
                 second = send->node;
         const int again = s.d.sends(r.id) - before;
         if (again > 0) s.d.outcome(s.d.nowMs, r.id, 1, second, Outcome::done);
         return std::pair(again, second != first);
     };
-    CHECK(endsWith(0, Outcome::full) == std::pair(1, true));
+    CHECK(endsWith(0, Outcome::rejected) == std::pair(1, true));
     CHECK(endsWith(0, Outcome::reset) == std::pair(1, true));
     CHECK(endsWith(0, Outcome::error) == std::pair(1, true));
-    CHECK(endsWith(1, Outcome::full) == std::pair(1, true));    // it never ran
-    CHECK(endsWith(1, Outcome::reset) == std::pair(0, false));  // it may have
+    CHECK(endsWith(1, Outcome::rejected) == std::pair(1, true));  // it never ran
+    CHECK(endsWith(1, Outcome::reset) == std::pair(0, false));    // it may have
 }
 
 TEST_CASE("a holder that answers nothing is passed over, and what is out there is repeated elsewhere") {
@@ -174,10 +175,10 @@
     const double start = s.d.nowMs;
     std::set<RequestId> again;
     while (s.d.nowMs < start + 2900 && again.size() < out.size()) {
-        s.d.give(s.d.nowMs + 2, ReminderEvent{1});
+        s.d.give(s.d.nowMs + 2, TimerFiredEvent{1});
         const std::vector<Action> actions = s.d.last;
         for (const Action& a : actions) {
-            const auto* cancel = std::get_if<Cancel>(&a);
+            const auto* cancel = std::get_if<CancelAttempt>(&a);
             if (cancel == nullptr) continue;
             s.d.outcome(s.d.nowMs, cancel->id, cancel->attempt, 200, Outcome::cancelled);
             if (s.sentTo(cancel->id) == 201) again.insert(cancel->id);
@@ -201,7 +202,7 @@
     s.d.pass(s.d.nowMs + 30);
     int sent = 0;
     for (const Action& a : s.d.all) {
-        const auto* send = std::get_if<Send>(&a);
+        const auto* send = std::get_if<SendAttempt>(&a);
         if (send == nullptr) continue;
         CHECK(send->node == 201);
         ++sent;
@@ -220,7 +221,7 @@
             s.d.give(s.d.nowMs + 4, s.read(i));
             const std::vector<Action> actions = s.d.last;
             for (const Action& a : actions)
-                if (const auto* send = std::get_if<Send>(&a))
+                if (const auto* send = std::get_if<SendAttempt>(&a))
                     out.emplace(s.d.nowMs + (send->node == 200 ? 400 : 10), std::pair(send->id, send->node));
             while (!out.empty() && out.begin()->first <= s.d.nowMs) {
                 const auto [id, node] = out.begin()->second;
@@ -228,7 +229,7 @@
                 s.d.outcome(s.d.nowMs, id, 0, node, Outcome::done, node == 200 ? 400 : 10);
                 const std::vector<Action> more = s.d.last;
                 for (const Action& a : more)
-                    if (const auto* send = std::get_if<Send>(&a))
+                    if (const auto* send = std::get_if<SendAttempt>(&a))
                         out.emplace(s.d.nowMs + (send->node == 200 ? 400 : 10),
                                     std::pair(send->id, send->node));
             }
@@ -250,7 +251,7 @@
     set.rules.fallMs = 1000;
     set.coldUnits = 10;
     set.hosts = 1;
-    set.mayTellPeers = false;
+    set.mayMessagePeers = false;
     Shard s(2, set);
     s.d.pass(s.d.nowMs + 3000);
     s.tell(Shard::entry(2, 1, NodeState::serving, s.d.nowMs));
@@ -264,7 +265,7 @@
     CHECK(units[202] <= 10 * (1 + 3 * 0.2));
     CHECK(units[202] > 0);
     for (int i = 0; i < 400; ++i) {
-        s.d.give(s.d.nowMs + 2, ReminderEvent{1});
+        s.d.give(s.d.nowMs + 2, TimerFiredEvent{1});
         s.answerAll(&units);
     }
     CHECK(s.d.answers() == 0);
@@ -307,10 +308,10 @@
 // Of a large fleet a few nodes are drawn for a new object; one that serves is found however few there are.
 TEST_CASE("a new object finds the only node that serves among a thousand") {
     Driver d(plainSettings(), 1, 0, 1000);
-    ListEvent list{ListKind::update, {}};
+    NodeListEvent list{NodeListKind::update, {}};
     for (int i = 0; i < 1000; ++i)
         if (i != 637)
-            list.entries.push_back({.node = NodeId(100 + i), .cell = i, .state = NodeState::draining});
+            list.entries.push_back({.node = NodeId(100 + i), .shard = i, .state = NodeState::draining});
     d.give(1, list);
     for (int i = 0; i < 20; ++i) {
         RequestEvent r = request("n" + std::to_string(i), d.nowMs + 1000, -1);
@@ -319,7 +320,7 @@
     }
     CHECK(d.sends() == 20);
     for (const Action& a : d.all)
-        if (const auto* send = std::get_if<Send>(&a)) CHECK(send->node == 737);
+        if (const auto* send = std::get_if<SendAttempt>(&a)) CHECK(send->node == 737);
 }
 
 // Guards against an entry left for good by what ends only after its node has gone: an answer, or a deadline.
@@ -340,7 +341,8 @@
         d.outcome(d.nowMs, id, 0, 100, Outcome::done, 5);
     }
     d.pass(d.nowMs + 1000);
-    d.give(d.nowMs + 1, ListEvent{ListKind::update, {{.node = 100, .cell = 0, .state = NodeState::gone}}});
+    d.give(d.nowMs + 1,
+           NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .state = NodeState::gone}}});
     d.pass(d.nowMs + 10'000, 10);
     SUBCASE("its deadline") { d.pass(d.nowMs + 20'000, 10); }
     d.outcome(d.nowMs + 1, "lost", 0, 100, Outcome::timedOut);
--- a/tests/limedrum/stream_test.cpp
+++ b/tests/limedrum/stream_test.cpp
@@ -38,7 +38,7 @@
     Settings s = testing::plainSettings();
     s.classes.push_back({.aimMs = 400,
                          .deadlineMs = 2000,
-                         .repeat = Repeat::keyed,
+                         .idempotency = Idempotency::deduplicated,
                          .repeatWindowMs = 900,
                          .worth = 1,
                          .lateWorth = 0.3});
@@ -72,9 +72,9 @@
         hosts.erase(host);
         hosts.emplace(host, Scheduler(settingsOf(host), 77 + static_cast<std::uint64_t>(host), nowMs));
         ++epoch[host];
-        ListEvent list{ListKind::restored, {}};
+        NodeListEvent list{NodeListKind::restored, {}};
         for (int shard = 0; shard < kShards; ++shard)
-            list.entries.push_back({.node = nodeOf(shard), .cell = shard, .bootMs = bornMs[shard]});
+            list.entries.push_back({.node = nodeOf(shard), .shard = shard, .bootMs = bornMs[shard]});
         give(host, nowMs, list);
     }
     NodeId nodeOf(int shard) const { return NodeId(100 + shard + 100 * generation[shard]); }
@@ -85,7 +85,7 @@
     }
     void take(int host, double nowMs, const Action& action) {
         hash.add(static_cast<double>(host * 10 + static_cast<int>(action.index())));
-        if (const auto* send = std::get_if<Send>(&action)) {
+        if (const auto* send = std::get_if<SendAttempt>(&action)) {
             hash.add(send->id);
             hash.add(static_cast<double>(send->node));
             hash.add(send->timeoutMs);
@@ -101,40 +101,41 @@
             if (!there)
                 out.outcome = Outcome::connectFailed, at = nowMs + 1;
             else if (busyMs[shard] - nowMs > 250)
-                out.outcome = Outcome::full, at = nowMs + 1;
+                out.outcome = Outcome::rejected, at = nowMs + 1;
             else if (chance < 0.01)
                 out.outcome = Outcome::error;
             else if (chance < 0.02)
                 out.outcome = Outcome::reset;
             else if (chance < 0.04 || silent == shard)
                 out.outcome = Outcome::timedOut, at = nowMs + send->timeoutMs;
-            out.tookMs = at - nowMs;
-            out.last = out.outcome == Outcome::done;
+            out.durationMs = at - nowMs;
+            out.requestFinished = out.outcome == Outcome::done;
             due.emplace(at, std::pair(epoch[host], Due{host, out}));
             flying[{send->id, attempt}] = out;
-        } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+        } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
             hash.add(cancel->id);
             OutcomeEvent out = flying[{cancel->id, cancel->attempt}];
             out.outcome = Outcome::cancelled;
-            out.last = false;
+            out.requestFinished = false;
             cancelled[{cancel->id, cancel->attempt}] = true;
             due.emplace(nowMs + 0.5, std::pair(epoch[host], Due{host, out}));
-        } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+        } else if (const auto* refuse = std::get_if<RefuseRequest>(&action)) {
             hash.add(refuse->id);
             hash.add(refuse->retryAfterMs);
             ++refusals;
-        } else if (const auto* fail = std::get_if<Fail>(&action)) {
+        } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
             hash.add(fail->id);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
             hash.add(timer->afterMs);
             due.emplace(nowMs + timer->afterMs,
-                        std::pair(epoch[host], Due{host, ReminderEvent{timer->token}}));
-        } else if (const auto* tell = std::get_if<TellPeer>(&action)) {
+                        std::pair(epoch[host], Due{host, TimerFiredEvent{timer->token}}));
+        } else if (const auto* tell = std::get_if<SendPeerMessage>(&action)) {
             hash.add(tell->text);
             if (draw() < 0.95)
-                due.emplace(nowMs + 2 + 10 * draw(),
-                            std::pair(epoch[tell->to], Due{tell->to, PeerEvent{host, tell->text}}));
-        } else if (const auto* log = std::get_if<Log>(&action)) {
+                due.emplace(
+                    nowMs + 2 + 10 * draw(),
+                    std::pair(epoch[tell->peer], Due{tell->peer, PeerMessageEvent{host, tell->text}}));
+        } else if (const auto* log = std::get_if<LogMessage>(&action)) {
             hash.add(log->text);
         }
     }
@@ -145,9 +146,9 @@
                 std::pair(
                     epoch[host],
                     Due{host,
-                        ListEvent{
-                            ListKind::update,
-                            {{.node = node, .cell = shard, .state = state, .bootMs = bornMs[shard]}}}}));
+                        NodeListEvent{
+                            NodeListKind::update,
+                            {{.node = node, .shard = shard, .state = state, .bootMs = bornMs[shard]}}}}));
     }
     void replace(int shard, double nowMs) {
         const NodeId old = nodeOf(shard);
@@ -169,10 +170,11 @@
         const bool late = below(12) == 0;
         r.expiresMs = nowMs + (r.classNo == 0 ? 1000 : 2000) * (late ? 0.6 : 1);
         r.units = 1 + below(4);
-        r.cell = r.classNo == 1 && below(2) == 0 ? -1 : below(kShards);
+        r.shard = r.classNo == 1 && below(2) == 0 ? -1 : below(kShards);
         r.hostsOfVolume = 2;
         give(host, nowMs, r);
-        if (below(50) == 0) due.emplace(nowMs + 30, std::pair(epoch[host], Due{host, AbandonedEvent{r.id}}));
+        if (below(50) == 0)
+            due.emplace(nowMs + 30, std::pair(epoch[host], Due{host, RequestAbandonedEvent{r.id}}));
     }
     void run(double fromMs, double untilMs) {
         double nextMs = fromMs;
--- a/tests/net/lingering_closes_test.cpp
+++ b/tests/net/lingering_closes_test.cpp
@@ -29,7 +29,7 @@
         const int accepted = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK);
         REQUIRE(accepted >= 0);
         close(listener);
-        ours = HeldBuffers(bufferevent_socket_new(base, accepted, BEV_OPT_CLOSE_ON_FREE));
+        ours = BuffereventRef(bufferevent_socket_new(base, accepted, BEV_OPT_CLOSE_ON_FREE));
         REQUIRE(ours);
     }
     ~Connection() { close(client); }
@@ -45,14 +45,14 @@
         return false;
     }
 
-    HeldBuffers ours;
+    BuffereventRef ours;
     int client = -1;
 };
 
 struct Lingering {
     explicit Lingering(const Limits& l) : limits(l) {}
     void turn() {
-        const timeval soon = timevalOf(5);
+        const timeval soon = toTimeval(5);
         event_base_loopexit(base.get(), &soon);
         event_base_dispatch(base.get());
     }
@@ -64,13 +64,13 @@
     }
     Limits limits;
     Counters counters;
-    Owned<event_base> base = makeBase();
+    LibeventPtr<event_base> base = makeEventBase();
     LingeringCloses closes{base.get(), limits, counters};
 };
 
 Limits longLinger() {
     Limits limits;
-    limits.lingerMs = 60'000;
+    limits.lingerTimeoutMs = 60'000;
     return limits;
 }
 
@@ -83,13 +83,13 @@
     const std::string answer = "the answer";
     REQUIRE(::send(bufferevent_getfd(connection.ours.get()), answer.data(), answer.size(), 0) > 0);
     REQUIRE(::send(connection.client, "early", 5, 0) == 5);
-    t.closes.take(std::move(connection.ours));
+    t.closes.add(std::move(connection.ours));
     t.turn();
     REQUIRE(::send(connection.client, "late", 4, 0) == 4);
     t.turn();
     CHECK(t.closes.size() == 1);
-    CHECK(t.counters.of("client_bytes_dropped") == 1);
-    CHECK(t.closes.delivered());
+    CHECK(t.counters.value("client_bytes_dropped") == 1);
+    CHECK(t.closes.allDelivered());
     std::array<char, 64> got{};
     CHECK(recv(connection.client, got.data(), got.size(), 0) == static_cast<ssize_t>(answer.size()));
     CHECK(recv(connection.client, got.data(), got.size(), 0) == 0);  // our sending has ended
@@ -99,10 +99,10 @@
 
 TEST_CASE("lingering close: a client that says nothing is closed when its time is over") {
     Limits limits;
-    limits.lingerMs = 50;
+    limits.lingerTimeoutMs = 50;
     Lingering t(limits);
     Connection connection(t.base.get());
-    t.closes.take(std::move(connection.ours));
+    t.closes.add(std::move(connection.ours));
     CHECK(t.closes.size() == 1);
     CHECK(t.ends());
     CHECK(connection.reset([&] { t.turn(); }));
@@ -110,11 +110,11 @@
 
 TEST_CASE("lingering close: one that goes on sending is closed when its time or its bytes are over") {
     Limits limits = longLinger();
-    SUBCASE("time") { limits.lingerMs = 50; }
-    SUBCASE("bytes") { limits.lingerBytes = 100; }
+    SUBCASE("time") { limits.lingerTimeoutMs = 50; }
+    SUBCASE("bytes") { limits.maxLingerBytes = 100; }
     Lingering t(limits);
     Connection connection(t.base.get());
-    t.closes.take(std::move(connection.ours));
+    t.closes.add(std::move(connection.ours));
     for (int turns = 0; turns < 2000 && t.closes.size() > 0; ++turns) {
         (void)::send(connection.client, "abc", 3, MSG_NOSIGNAL);
         t.turn();
@@ -124,12 +124,12 @@
 
 TEST_CASE("lingering close: at the bound the one that has lingered longest is closed") {
     Limits limits = longLinger();
-    limits.lingering = 2;
+    limits.maxLingeringConnections = 2;
     Lingering t(limits);
     Connection first(t.base.get()), second(t.base.get()), third(t.base.get());
-    t.closes.take(std::move(first.ours));
-    t.closes.take(std::move(second.ours));
-    t.closes.take(std::move(third.ours));
+    t.closes.add(std::move(first.ours));
+    t.closes.add(std::move(second.ours));
+    t.closes.add(std::move(third.ours));
     CHECK(t.closes.size() == 2);
     CHECK(first.reset([&] { t.turn(); }));
     CHECK(::send(second.client, "x", 1, MSG_NOSIGNAL) == 1);
--- a/tests/program/etcd_test.cpp
+++ b/tests/program/etcd_test.cpp
@@ -12,25 +12,26 @@
 
 struct EtcdWorld {
     EtcdWorld()
-        : node(world.base.get(), serve), gateway(world.base.get(), [this](Wire& wire) { read(wire); }) {
-        world.etcd = {{"address", gateway.address.text()}, {"prefix", "/nodes/"}};
+        : node(world.base.get(), replyWithRequestId),
+          gateway(world.base.get(), [this](TestConnection& wire) { read(wire); }) {
+        world.etcdSection = {{"address", gateway.address.toString()}, {"prefix", "/nodes/"}};
         pairs = Json::array({pair("s-1", 5)});
     }
     Json pair(const std::string& name, int shard) {
-        const std::string value = world.entry(name, node.listener.address, shard, "ready").dump();
+        const std::string value = world.makeNodeEntry(name, node.listener.address, shard, "ready").dump();
         return {{"key", toBase64("/nodes/" + name)}, {"value", toBase64(value)}};
     }
-    void read(Wire& wire) {
-        while (const auto request = takeHttp(wire.got)) {
+    void read(TestConnection& wire) {
+        while (const auto request = takeHttpMessage(wire.received)) {
             const Json body = Json::parse(request->body);
-            const bool range = request->line() == "POST /v3/kv/range HTTP/1.1";
+            const bool range = request->startLine() == "POST /v3/kv/range HTTP/1.1";
             const Json& asked = range ? body : body["create_request"];
             CHECK(fromBase64(asked["key"]) == "/nodes/");
             CHECK(fromBase64(asked["range_end"]) == "/nodes0");
             if (range) {
                 ++ranges;
                 const Json answer{{"header", {{"revision", std::to_string(revision)}}}, {"kvs", pairs}};
-                wire.send(httpReply(200, answer.dump()));
+                wire.send(makeHttpReply(200, answer.dump()));
                 continue;
             }
             starts.push_back(asked["start_revision"]);
@@ -56,15 +57,15 @@
         say({{"events", Json::array({event})}});
     }
     bool watches(std::size_t count) {
-        return world.until([&] { return starts.size() >= count; });
+        return world.waitUntil([&] { return starts.size() >= count; });
     }
-    World world;
-    HttpNode node;
-    Listener gateway;
+    ProgramHarness world;
+    StubHttpNode node;
+    TestServer gateway;
     Json pairs;
     int revision = 7, ranges = 0;
     std::vector<std::string> starts;
-    Wire* watch = nullptr;
+    TestConnection* watch = nullptr;
 };
 
 }  // namespace
@@ -83,20 +84,20 @@
     t.world.start();
     REQUIRE(t.watches(1));
     CHECK(t.starts == std::vector<std::string>{"8"});
-    CHECK(t.world.ask(t.world.request("1")).code() == 200);
+    CHECK(t.world.sendRequest(t.world.makeRequest("1")).statusCode() == 200);
     t.change("DELETE", {{"key", toBase64("/nodes/s-1")}});
-    REQUIRE(t.world.until([&] { return t.world.counter("etcd_update") == 2; }));
-    CHECK(t.world.ask(t.world.request("2", "", 400)).code() == 503);
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("etcd_update") == 2; }));
+    CHECK(t.world.sendRequest(t.world.makeRequest("2", "", 400)).statusCode() == 503);
     t.change("PUT", t.pair("s-2", 5));
-    REQUIRE(t.world.until([&] { return t.world.counter("etcd_update") == 3; }));
-    CHECK(t.world.ask(t.world.request("3")).code() == 200);
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("etcd_update") == 3; }));
+    CHECK(t.world.sendRequest(t.world.makeRequest("3")).statusCode() == 200);
 
     // A watch that breaks is asked for again where it stood, and no list.
     t.watch->close();
     REQUIRE(t.watches(2));
     CHECK(t.starts.back() == "10");
     CHECK(t.ranges == 1);
-    CHECK(t.world.watches == 0);  // the platform's discovery is not asked
+    CHECK(t.world.discoveryCallCount == 0);  // the platform's discovery is not asked
 }
 
 // Guards against holding on to a list whose changes were lost.
@@ -113,13 +114,13 @@
     t.change("PUT", {{"key", toBase64("/nodes/s-4")}, {"value", toBase64("{}")}});
     REQUIRE(t.watches(3));
     CHECK(t.ranges == 3);
-    CHECK(t.world.counter("etcd_bad") == 1);
-    CHECK(t.world.ask(t.world.request("1")).code() == 200);
+    CHECK(t.world.readCounter("etcd_bad") == 1);
+    CHECK(t.world.sendRequest(t.world.makeRequest("1")).statusCode() == 200);
 }
 
 TEST_CASE("etcd: a bad value in the operator's file") {
-    const World world;
-    const auto [code, text] = runOnce(world.config, {}, {{"address", "x"}, {"prefix", "/"}});
+    const ProgramHarness world;
+    const auto [code, text] = runUntilExit(world.config, {}, {{"address", "x"}, {"prefix", "/"}});
     CHECK(code == 1);
     CHECK_MESSAGE(text.find("/operator.textproto:2:1: address: not an address: 'x'\n") != text.npos, text);
 }
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -16,23 +16,25 @@
 /// A program with one node that holds shard 5.
 struct OneNode {
     explicit OneNode(
-        HttpNode::Answer answer = serve, const std::function<void(World&)>& set = [](World&) {})
+        StubHttpNode::Handler answer = replyWithRequestId,
+        const std::function<void(ProgramHarness&)>& set = [](ProgramHarness&) {})
         : node(world.base.get(), std::move(answer)) {
         set(world);
-        world.config["known"]["hosts"].push_back(world.entry("s-1", node.listener.address, 5, "ready"));
+        world.config["known"]["hosts"].push_back(
+            world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
         world.start();
     }
-    World world;
-    HttpNode node;
+    ProgramHarness world;
+    StubHttpNode node;
 };
 
-const auto silent = [](Wire&, const HttpText&) {};
+const auto silent = [](TestConnection&, const ParsedHttpMessage&) {};
 
 /// Returns once SIGTERM has led the program to close its listener.
-bool listenerCloses(World& world) {
-    return world.until([&] {
-        Wire probe(world.base.get(), world.listen);
-        return world.until([&] { return probe.closed; }, 50);
+bool listenerCloses(ProgramHarness& world) {
+    return world.waitUntil([&] {
+        TestConnection probe(world.base.get(), world.listenAddress);
+        return world.waitUntil([&] { return probe.closedByPeer; }, 50);
     });
 }
 
@@ -40,88 +42,88 @@
 
 TEST_CASE("a read and a write pass on unchanged, and the node's answer comes back") {
     OneNode t;
-    const HttpText read = t.world.ask(t.world.request("0000000000000001"));
-    CHECK(read.code() == 200);
+    const ParsedHttpMessage read = t.world.sendRequest(t.world.makeRequest("0000000000000001"));
+    CHECK(read.statusCode() == 200);
     CHECK(read.body == "made for 0000000000000001:");
-    t.world.rest();
-    CHECK(t.world.ask(t.world.request("0000000000000002", "", 5000, "new text")).body ==
+    t.world.waitForNodeReuse();
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000002", "", 5000, "new text")).body ==
           "made for 0000000000000002:new text");
     REQUIRE(t.node.requests.size() == 2);
-    CHECK(t.node.requests[0].line() == "GET /read/00000003b4d60021/7f3a9c21e0b4d655?x=1 HTTP/1.1");
+    CHECK(t.node.requests[0].startLine() == "GET /read/00000003b4d60021/7f3a9c21e0b4d655?x=1 HTTP/1.1");
     CHECK(t.node.requests[1].header("Idempotency-Key") == "k");
-    CHECK(t.node.listener.wires.size() == 1);  // the connection is used again
-    CHECK(t.world.end() == 0);
+    CHECK(t.node.listener.connections.size() == 1);  // the connection is used again
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against a request that is answered twice or not at all where the node says nothing: the deadline's
 // answer is the only one, and the attempt is called off by closing its connection.
 TEST_CASE("a silent node: one final answer by the deadline, and the attempt is cancelled") {
     OneNode t(silent);
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001", "", 400));
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(client.got)).has_value(); }));
-    CHECK(answer->code() == 503);
-    REQUIRE(t.world.until([&] { return t.node.listener.wires.front().closed; }));
-    CHECK(t.world.counter("answer_refused") == 1);
-    CHECK(client.got.empty());
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001", "", 400));
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil([&] { return (answer = takeHttpMessage(client.received)).has_value(); }));
+    CHECK(answer->statusCode() == 503);
+    REQUIRE(t.world.waitUntil([&] { return t.node.listener.connections.front().closedByPeer; }));
+    CHECK(t.world.readCounter("answer_refused") == 1);
+    CHECK(client.received.empty());
 }
 
 // Guards against working on for a client that has gone: evhttp itself does not look while a request is open.
 TEST_CASE("a client that goes away takes its attempt with it") {
     OneNode t(silent);
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return t.node.requests.size() == 1; }));
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return t.node.requests.size() == 1; }));
     client.close();
-    REQUIRE(t.world.until([&] { return t.node.listener.wires.front().closed; }));
-    CHECK(t.world.counter("client_gone") == 1);
-    CHECK(t.world.counter("answer_failed") + t.world.counter("answer_refused") == 0);
+    REQUIRE(t.world.waitUntil([&] { return t.node.listener.connections.front().closedByPeer; }));
+    CHECK(t.world.readCounter("client_gone") == 1);
+    CHECK(t.world.readCounter("answer_failed") + t.world.readCounter("answer_refused") == 0);
 }
 
 TEST_CASE("a connection that breaks after the request: a read is tried again, once served") {
     int broken = 0;
-    OneNode t([&](Wire& wire, const HttpText& request) {
+    OneNode t([&](TestConnection& wire, const ParsedHttpMessage& request) {
         if (broken++ == 0) return wire.close();
-        serve(wire, request);
+        replyWithRequestId(wire, request);
     });
-    CHECK(t.world.ask(t.world.request("0000000000000001")).code() == 200);
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).statusCode() == 200);
     CHECK(t.node.requests.size() == 2);
-    CHECK(t.world.counter("attempt_broken") == 1);
+    CHECK(t.world.readCounter("attempt_broken") == 1);
 }
 
 TEST_CASE("a node that turns away, errs or is not there") {
     int turn = 0;
-    OneNode t([&](Wire& wire, const HttpText& request) {
-        if (++turn == 1) return wire.send(httpReply(503, "", "Srv-Declined: 1\r\n"));
-        if (turn == 2) return wire.send(httpReply(500, ""));
-        serve(wire, request);
+    OneNode t([&](TestConnection& wire, const ParsedHttpMessage& request) {
+        if (++turn == 1) return wire.send(makeHttpReply(503, "", "Srv-Declined: 1\r\n"));
+        if (turn == 2) return wire.send(makeHttpReply(500, ""));
+        replyWithRequestId(wire, request);
     });
-    CHECK(t.world.ask(t.world.request("0000000000000001")).code() == 200);
-    CHECK(t.world.counter("attempt_turned_away") == 1);
-    CHECK(t.world.counter("attempt_error") == 1);
-    const int watches = t.world.watches;
-    const FreeAddress nobody;
-    t.world.tell("s-1", nobody, 5);
-    REQUIRE(t.world.until([&] { return t.world.watches > watches; }));
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).statusCode() == 200);
+    CHECK(t.world.readCounter("attempt_turned_away") == 1);
+    CHECK(t.world.readCounter("attempt_error") == 1);
+    const int watches = t.world.discoveryCallCount;
+    const ReservedAddress nobody;
+    t.world.announceNode("s-1", nobody, 5);
+    REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount > watches; }));
     // A node to which no connection comes up has run nothing: the answer says that a repeat is harmless.
-    const HttpText answer = t.world.ask(t.world.request("0000000000000002", "", 300));
-    CHECK(answer.code() == 503);
-    CHECK(t.world.counter("attempt_not_connected") > 0);
+    const ParsedHttpMessage answer = t.world.sendRequest(t.world.makeRequest("0000000000000002", "", 300));
+    CHECK(answer.statusCode() == 503);
+    CHECK(t.world.readCounter("attempt_not_connected") > 0);
 }
 
 TEST_CASE("a draining node gets nothing new; the watch goes on") {
     OneNode t;
-    const int watches = t.world.watches;
-    t.world.tell("s-1", t.node.listener.address, 5, "draining");
-    REQUIRE(t.world.until([&] { return t.world.watches > watches; }));
-    CHECK(t.world.ask(t.world.request("0000000000000001", "", 400)).code() == 503);
+    const int watches = t.world.discoveryCallCount;
+    t.world.announceNode("s-1", t.node.listener.address, 5, "draining");
+    REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount > watches; }));
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001", "", 400)).statusCode() == 503);
     CHECK(t.node.requests.empty());
 }
 
 TEST_CASE("hostile clients get a defined answer and leave the program standing") {
     OneNode t;
-    const std::string good = t.world.request("0000000000000001");
+    const std::string good = t.world.makeRequest("0000000000000001");
     const auto with = [&](const std::string& from, const std::string& to) {
         std::string text = good;
         return text.replace(text.find(from), from.size(), to);
@@ -131,71 +133,77 @@
           with("Ms: 5000", "Ms: soon"), with("units=2", "units=-2"), with("shard=5", "shard"),
           with("Req-Id: ", "No-Id: "), with("/7f3a9c21e0b4d655?x=1", ""), with("GET", "DELETE"),
           with("Tier: basic", "Tier: basic\r\nTier: basic"), with("Tier: basic", "Tier : basic")})
-        CHECK(t.world.ask(bad).code() == 400);
-    CHECK(t.world.ask(with("shard=5", "shard=100")).code() == 400);  // there are 100, counted from 0
-    CHECK(t.world.ask("PUT /write/1/2 HTTP/1.1\r\nHost: b\r\nContent-Length: 70000\r\n\r\n").code() / 100 ==
+        CHECK(t.world.sendRequest(bad).statusCode() == 400);
+    CHECK(t.world.sendRequest(with("shard=5", "shard=100")).statusCode() ==
+          400);  // there are 100, counted from 0
+    CHECK(t.world.sendRequest("PUT /write/1/2 HTTP/1.1\r\nHost: b\r\nContent-Length: 70000\r\n\r\n")
+                  .statusCode() /
+              100 ==
           4);
-    CHECK(t.world.ask("GET /" + std::string(20000, 'a') + " HTTP/1.1\r\n\r\n").code() / 100 != 2);
-    Wire& garbage = t.world.connect();
+    CHECK(t.world.sendRequest("GET /" + std::string(20000, 'a') + " HTTP/1.1\r\n\r\n").statusCode() / 100 !=
+          2);
+    TestConnection& garbage = t.world.connect();
     garbage.send(std::string("\0\xff\x80 garbage\r\n\r\n", 15));
-    REQUIRE(t.world.until([&] { return garbage.closed || !garbage.got.empty(); }));
+    REQUIRE(t.world.waitUntil([&] { return garbage.closedByPeer || !garbage.received.empty(); }));
     CHECK(t.node.requests.empty());
-    CHECK(t.world.ask(good).code() == 200);
-    CHECK(t.world.counter("request_malformed") >= 9);
+    CHECK(t.world.sendRequest(good).statusCode() == 200);
+    CHECK(t.world.readCounter("request_malformed") >= 9);
 }
 
 // Guards against a request hidden in what another takes for a body: nothing of it reaches a node, and what
 // comes behind it on the connection is not taken for a request either.
 TEST_CASE("a request whose end is ambiguous is refused and ends its connection") {
     OneNode t;
-    const std::string hidden = t.world.request("0000000000000009");
+    const std::string hidden = t.world.makeRequest("0000000000000009");
     const std::string size = std::to_string(hidden.size());
-    const std::string write = t.world.request("0000000000000001", "", 5000, "x");
+    const std::string write = t.world.makeRequest("0000000000000001", "", 5000, "x");
     const std::string head = write.substr(0, write.find("Content-Length"));
     for (const std::string& bad :
          {head + "Content-Length: " + size + "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
           head + "Content-Length: 0\r\nContent-Length: " + size + "\r\n\r\n" + hidden,
           head + "Content-Length: +0\r\n\r\n" + hidden, head + "Content-Length: -5\r\n\r\n" + hidden,
           head + "Transfer-Encoding: gzip\r\nContent-Length: 0\r\n\r\n" + hidden,
-          t.world.request("0000000000000001", "Content-Length: " + size + "\r\n") + hidden,
-          t.world.request("0000000000000001", "Transfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden}) {
+          t.world.makeRequest("0000000000000001", "Content-Length: " + size + "\r\n") + hidden,
+          t.world.makeRequest("0000000000000001", "Transfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden}) {
         CAPTURE(bad);
-        Wire& client = t.world.connect();
+        TestConnection& client = t.world.connect();
         client.send(bad);
-        REQUIRE(t.world.until([&] { return client.closed; }));
-        CHECK(client.got.starts_with("HTTP/1.1 400"));
-        CHECK(client.got.find("HTTP/1.1", 8) == std::string::npos);
+        REQUIRE(t.world.waitUntil([&] { return client.closedByPeer; }));
+        CHECK(client.received.starts_with("HTTP/1.1 400"));
+        CHECK(client.received.find("HTTP/1.1", 8) == std::string::npos);
     }
     CHECK(t.node.requests.empty());
     // Chunks alone are no riddle: the body passes on with its length.
-    CHECK(t.world.ask(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n").body ==
-          "made for 0000000000000001:abc");
+    CHECK(
+        t.world.sendRequest(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n").body ==
+        "made for 0000000000000001:abc");
 }
 
 // Guards against clients that connect and say nothing whole, which evhttp does not show: they were never
 // closed.
 TEST_CASE("silent clients are closed, and at the bound they make room at once") {
-    World world;
+    ProgramHarness world;
     world.config["limits"]["sockets"] = 80;
     world.start();
-    std::vector<Wire*> silent;
+    std::vector<TestConnection*> silent;
     for (int i = 0; i < 200; ++i) silent.push_back(&world.connect());
     silent.back()->send("GET /healthz HT");
-    CHECK(world.ask("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n").code() == 200);
-    REQUIRE(world.until(
-        [&] { return std::all_of(silent.begin(), silent.end(), [](Wire* w) { return w->closed; }); }));
-    CHECK(world.counter("client_silent") >= 200);
-    CHECK(world.counter("client_crowd") > 0);
+    CHECK(world.sendRequest("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n").statusCode() == 200);
+    REQUIRE(world.waitUntil([&] {
+        return std::all_of(silent.begin(), silent.end(), [](TestConnection* w) { return w->closedByPeer; });
+    }));
+    CHECK(world.readCounter("client_silent") >= 200);
+    CHECK(world.readCounter("client_crowd") > 0);
 }
 
 // Guards against evhttp's reading on while a request is in work: the second one must wait for its turn.
 TEST_CASE("two requests sent at once on one connection are answered in turn") {
     OneNode t;
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001") + t.world.request("0000000000000002"));
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001") + t.world.makeRequest("0000000000000002"));
     std::vector<std::string> bodies;
-    REQUIRE(t.world.until([&] {
-        if (const auto answer = takeHttp(client.got)) bodies.push_back(answer->body);
+    REQUIRE(t.world.waitUntil([&] {
+        if (const auto answer = takeHttpMessage(client.received)) bodies.push_back(answer->body);
         return bodies.size() == 2;
     }));
     CHECK(bodies == std::vector<std::string>{"made for 0000000000000001:", "made for 0000000000000002:"});
@@ -203,36 +211,36 @@
 
 TEST_CASE("an id that is open already is not taken twice") {
     OneNode t(silent);
-    t.world.connect().send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return t.node.requests.size() == 1; }));
-    CHECK(t.world.ask(t.world.request("0000000000000001")).code() == 503);
+    t.world.connect().send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return t.node.requests.size() == 1; }));
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).statusCode() == 503);
     CHECK(t.node.requests.size() == 1);
 }
 
 TEST_CASE("SIGTERM: new connections are still served, what was taken is finished, then it ends with 0") {
-    Wire* held = nullptr;
-    OneNode t([&](Wire& wire, const HttpText& request) {
+    TestConnection* held = nullptr;
+    OneNode t([&](TestConnection& wire, const ParsedHttpMessage& request) {
         if (held == nullptr) {
             held = &wire;
         } else {
-            serve(wire, request);
+            replyWithRequestId(wire, request);
         }
     });
-    Wire& before = t.world.connect();
-    before.send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return held != nullptr; }));
-    t.world.signal(SIGTERM);
-    REQUIRE(t.world.until(
+    TestConnection& before = t.world.connect();
+    before.send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return held != nullptr; }));
+    t.world.sendSignal(SIGTERM);
+    REQUIRE(t.world.waitUntil(
         [&] { return t.world.log.find("end: finishing what was taken open=1") != std::string::npos; }));
-    const HttpText during = t.world.ask(t.world.request("0000000000000002"));
-    CHECK(during.code() == 200);
+    const ParsedHttpMessage during = t.world.sendRequest(t.world.makeRequest("0000000000000002"));
+    CHECK(during.statusCode() == 200);
     CHECK(during.header("Connection") == "close");
     REQUIRE(listenerCloses(t.world));  // only then is the first one answered
-    held->send(httpReply(200, "late"));
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(before.got)).has_value(); }));
+    held->send(makeHttpReply(200, "late"));
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil([&] { return (answer = takeHttpMessage(before.received)).has_value(); }));
     CHECK(answer->body == "late");
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
     CHECK(t.world.log.find("end: exits open=0") != std::string::npos);
 }
 
@@ -242,9 +250,9 @@
     const pid_t child = fork();
     REQUIRE(child >= 0);
     if (child == 0) {
-        const auto base = martencove::makeBase();
+        const auto base = martencove::makeEventBase();
         {
-            const martencove::SignalWatch watch(base.get(), SIGTERM, [] {});
+            const martencove::SignalHandler watch(base.get(), SIGTERM, [] {});
         }
         raise(SIGTERM);
         _exit(0);
@@ -257,162 +265,166 @@
 // Guards against a request lost whose headers had been read: evhttp has them, and the connection looks idle.
 TEST_CASE("SIGTERM: a request whose headers have come on a kept connection is still taken and answered") {
     OneNode t;
-    Wire& client = t.world.connect();
-    std::optional<HttpText> answer;
-    client.send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(client.got)).has_value(); }));
-    const std::string text = t.world.request("0000000000000002", "", 3000, "the body");
+    TestConnection& client = t.world.connect();
+    std::optional<ParsedHttpMessage> answer;
+    client.send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return (answer = takeHttpMessage(client.received)).has_value(); }));
+    const std::string text = t.world.makeRequest("0000000000000002", "", 3000, "the body");
     const std::size_t half = text.find("the body");  // the headers, which evhttp takes out of the buffers
     client.send(text.substr(0, half));
-    t.world.rest();
-    t.world.signal(SIGTERM);
+    t.world.waitForNodeReuse();
+    t.world.sendSignal(SIGTERM);
     REQUIRE(listenerCloses(t.world));
-    t.world.rest();
-    CHECK_FALSE(client.closed);
+    t.world.waitForNodeReuse();
+    CHECK_FALSE(client.closedByPeer);
     client.send(text.substr(half));
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(client.got)).has_value() || client.closed; }));
+    REQUIRE(t.world.waitUntil(
+        [&] { return (answer = takeHttpMessage(client.received)).has_value() || client.closedByPeer; }));
     REQUIRE(answer);
-    CHECK(answer->code() == 200);
-    CHECK(t.world.end() == 0);
+    CHECK(answer->statusCode() == 200);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against an end between an answer and its last byte: to the dispatcher it is over once it is handed
 // on.
 TEST_CASE("SIGTERM: the program ends only once its answers are written whole") {
     const std::string longest(5'900'000, 'y');  // more than the sockets between take
-    OneNode t([&](Wire& wire, const HttpText&) { wire.send(httpReply(200, longest)); },
-              [](World& world) {
+    OneNode t([&](TestConnection& wire, const ParsedHttpMessage&) { wire.send(makeHttpReply(200, longest)); },
+              [](ProgramHarness& world) {
                   for (auto& one : world.config["settings"]["Classes"]) one["DeadlineMs"] = 20000;
               });
-    Wire& client = t.world.connect();
-    client.read(false);
-    client.send(t.world.request("0000000000000001", "", 20000));
-    REQUIRE(t.world.until([&] { return t.world.counter("answer_served") == 1; }));
-    t.world.signal(SIGTERM);
+    TestConnection& client = t.world.connect();
+    client.setReading(false);
+    client.send(t.world.makeRequest("0000000000000001", "", 20000));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_served") == 1; }));
+    t.world.sendSignal(SIGTERM);
     REQUIRE(listenerCloses(t.world));
-    (void)t.world.until([&] { return t.world.log.find("end: exits") != std::string::npos; }, 1000);
-    client.read(true);
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(client.got)).has_value() || client.closed; }));
+    (void)t.world.waitUntil([&] { return t.world.log.find("end: exits") != std::string::npos; }, 1000);
+    client.setReading(true);
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil(
+        [&] { return (answer = takeHttpMessage(client.received)).has_value() || client.closedByPeer; }));
     REQUIRE(answer);
     CHECK(answer->body == longest);
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against a fleet whose failed calls come back in step: the rest counts all schedulers, and it grows.
 TEST_CASE(
     "a discovery that has no room is asked again after rests that grow with the fleet and with failures") {
-    World world;
+    ProgramHarness world;
     std::vector<double> callsMs;
     const martencove::Clock clock;
-    Listener full(world.base.get(), [&](Wire& wire) {
-        if (!takeHttp(wire.got)) return;
+    TestServer full(world.base.get(), [&](TestConnection& wire) {
+        if (!takeHttpMessage(wire.received)) return;
         callsMs.push_back(clock.nowMs());
-        wire.send(httpReply(503, ""));
+        wire.send(makeHttpReply(503, ""));
     });
-    world.config["discovery"] = full.address.text();
+    world.config["discovery"] = full.address.toString();
     world.config["settings"]["Discovery"] = "on_request";
     world.config["settings"]["Siblings"] =
         10;  // 50 ms for each: 500 ms in the mean, then 1000, at least half
     world.start();
-    REQUIRE(world.until([&] { return callsMs.size() == 3; }));
+    REQUIRE(world.waitUntil([&] { return callsMs.size() == 3; }));
     CHECK(callsMs[1] - callsMs[0] >= 249);
     CHECK(callsMs[2] - callsMs[1] >= 499);
-    CHECK(world.end() == 0);
+    CHECK(world.stopAndWait() == 0);
 }
 
 // Guards against an end by SIGHUP, a watch that stays at the old address, and requests lost on the way.
 TEST_CASE("SIGHUP: discovery moves, an unreadable file leaves all as it was, what was taken is served") {
-    Wire* held = nullptr;
-    OneNode t([&](Wire& wire, const HttpText&) { held = &wire; });
-    Wire& before = t.world.connect();
-    before.send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return held != nullptr; }));
-
-    t.world.rewrite("{\"listen\":");
-    t.world.signal(SIGHUP);
-    REQUIRE(t.world.until([&] { return t.world.counter("config_bad") == 1; }));
+    TestConnection* held = nullptr;
+    OneNode t([&](TestConnection& wire, const ParsedHttpMessage&) { held = &wire; });
+    TestConnection& before = t.world.connect();
+    before.send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return held != nullptr; }));
+
+    t.world.rewriteConfig("{\"listen\":");
+    t.world.sendSignal(SIGHUP);
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("config_bad") == 1; }));
     CHECK(t.world.log.find("not taken, the old one stands") != std::string::npos);
 
-    HttpNode second(t.world.base.get(), serve);
+    StubHttpNode second(t.world.base.get(), replyWithRequestId);
     std::string asked;
-    Listener moved(t.world.base.get(), [&](Wire& wire) {
-        const auto call = takeHttp(wire.got);
+    TestServer moved(t.world.base.get(), [&](TestConnection& wire) {
+        const auto call = takeHttpMessage(wire.received);
         if (!call || !asked.empty()) return;
-        asked = call->line();
-        const Json hosts = {t.world.entry("s-2", second.listener.address, 5, "ready")};
+        asked = call->startLine();
+        const Json hosts = {t.world.makeNodeEntry("s-2", second.listener.address, 5, "ready")};
         // Its versions are its own: lower ones than the old address told.
-        wire.send(httpReply(200, Json{{"seq", 0}, {"whole", true}, {"hosts", hosts}}.dump()));
+        wire.send(makeHttpReply(200, Json{{"seq", 0}, {"whole", true}, {"hosts", hosts}}.dump()));
     });
-    t.world.config["discovery"] = moved.address.text();
+    t.world.config["discovery"] = moved.address.toString();
     t.world.config["limits"]["sockets"] = 512;
-    t.world.rewrite();
-    t.world.signal(SIGHUP);
-    REQUIRE(t.world.until([&] { return !asked.empty(); }));
-    REQUIRE(t.world.until([&] { return t.world.log.find("next start field=limits") != std::string::npos; }));
+    t.world.rewriteConfig();
+    t.world.sendSignal(SIGHUP);
+    REQUIRE(t.world.waitUntil([&] { return !asked.empty(); }));
+    REQUIRE(
+        t.world.waitUntil([&] { return t.world.log.find("next start field=limits") != std::string::npos; }));
     CHECK(asked == "GET /v1/servers HTTP/1.1");
     CHECK(t.world.log.find("next start field=limits") != std::string::npos);
     // The new address leaves the first node out, so that the second alone holds the shard.
-    REQUIRE(t.world.until([&] { return t.world.counter("discovery_moved") == 1; }));
-    CHECK(t.world.ask(t.world.request("0000000000000002")).body == "made for 0000000000000002:");
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("discovery_moved") == 1; }));
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000002")).body == "made for 0000000000000002:");
 
-    held->send(httpReply(200, "from before"));
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(before.got)).has_value(); }));
+    held->send(makeHttpReply(200, "from before"));
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil([&] { return (answer = takeHttpMessage(before.received)).has_value(); }));
     CHECK(answer->body == "from before");
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against connections that rest while other clients find none left.
 TEST_CASE("near the bound an answer ends its connection; below it the connection stays") {
-    World world;
+    ProgramHarness world;
     world.config["limits"]["sockets"] = 80;  // 36 for clients
     world.start();
     const std::string health = "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n";
-    std::vector<Wire*> clients;
+    std::vector<TestConnection*> clients;
     const auto ended = [&] {
-        return std::count_if(clients.begin(), clients.end(), [](Wire* w) { return w->closed; });
+        return std::count_if(clients.begin(), clients.end(),
+                             [](TestConnection* w) { return w->closedByPeer; });
     };
     for (int i = 0; i < 25; ++i) {
         clients.push_back(&world.connect());
         clients.back()->send(health);
-        REQUIRE(world.until([&] { return clients.back()->got.starts_with("HTTP/1.1 200"); }));
+        REQUIRE(world.waitUntil([&] { return clients.back()->received.starts_with("HTTP/1.1 200"); }));
         if (i == 9) CHECK(ended() == 0);
     }
-    CHECK(clients.back()->got.find("Connection: close") != std::string::npos);
-    REQUIRE(world.until([&] { return clients.back()->closed; }));
+    CHECK(clients.back()->received.find("Connection: close") != std::string::npos);
+    REQUIRE(world.waitUntil([&] { return clients.back()->closedByPeer; }));
     CHECK(ended() < 25);
 }
 
 // Guards against idle clients that lock others out at the bound on descriptors.
 TEST_CASE("at the bound idle connections make room for new ones") {
-    World world;
+    ProgramHarness world;
     world.config["limits"]["sockets"] = 80;
     world.start();
     for (int i = 0; i < 100; ++i) world.connect().send("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
-    CHECK(world.ask("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n").code() == 200);
+    CHECK(world.sendRequest("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n").statusCode() == 200);
     CHECK(world.running());
 }
 
 TEST_CASE("datagrams from strangers or too long are counted and passed over") {
     OneNode t;
     const int fd = socket(AF_INET, SOCK_DGRAM, 0);
-    const sockaddr_in to = t.world.peerListen.socketAddress();
+    const sockaddr_in to = t.world.peerListenAddress.socketAddress();
     for (const std::size_t size : {std::size_t{3}, std::size_t{300}}) {
         const std::string text(size, 'x');
         sendto(fd, text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
     }
     evutil_closesocket(fd);
-    REQUIRE(t.world.until([&] { return t.world.counter("peer_bad") == 2; }));
-    CHECK(t.world.ask(t.world.request("0000000000000001")).code() == 200);
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("peer_bad") == 2; }));
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).statusCode() == 200);
 }
 
 // Guards against bytes that go to a connection which evhttp has closed: its buffers are held for a while, and
 // the next connection may have its descriptor. A request that takes more than one read shows it.
 TEST_CASE("http: what comes on a connection right after another was closed is read whole") {
-    World world;
-    HttpNode node(world.base.get(), serve);
-    world.config["known"]["hosts"].push_back(world.entry("s-1", node.listener.address, 5, "ready"));
+    ProgramHarness world;
+    StubHttpNode node(world.base.get(), replyWithRequestId);
+    world.config["known"]["hosts"].push_back(world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
     world.start();
     std::string bad;
     SUBCASE("for a line that is no request") { bad = "NONSENSE\r\n\r\n"; }
@@ -424,42 +436,44 @@
     SUBCASE("for a head that is too long") { bad = "GET / HTTP/1.1\r\nA: " + std::string(80'000, 'a'); }
     SUBCASE("by its client, half a request said") { bad = ""; }
     for (int i = 0; i < 3; ++i) {
-        std::list<Wire> others;
+        std::list<TestConnection> others;
         for (int k = 0; k < 4; ++k) {
-            Wire& other = others.emplace_back(world.base.get(), world.listen);
+            TestConnection& other = others.emplace_back(world.base.get(), world.listenAddress);
             other.send(bad.empty() ? "GET /read" : bad);
         }
         if (bad.empty()) {
-            (void)world.until([] { return false; }, 5);
-            for (Wire& other : others) other.close();
-            (void)world.until([] { return false; }, 2);
+            (void)world.waitUntil([] { return false; }, 5);
+            for (TestConnection& other : others) other.close();
+            (void)world.waitUntil([] { return false; }, 2);
         } else {
-            REQUIRE(world.until([&] {
-                return std::all_of(others.begin(), others.end(), [](const Wire& w) { return w.closed; });
+            REQUIRE(world.waitUntil([&] {
+                return std::all_of(others.begin(), others.end(),
+                                   [](const TestConnection& w) { return w.closedByPeer; });
             }));
         }
-        std::list<Wire> clients;
+        std::list<TestConnection> clients;
         for (int k = 0; k < 4; ++k) {
-            Wire& client = clients.emplace_back(world.base.get(), world.listen);
+            TestConnection& client = clients.emplace_back(world.base.get(), world.listenAddress);
             char id[17];
             std::snprintf(id, sizeof id, "%016x", static_cast<unsigned>(i * 4 + k + 1));
-            client.send(world.request(id, "", 5000, std::string(4800, 'x')));
+            client.send(world.makeRequest(id, "", 5000, std::string(4800, 'x')));
         }
-        for (Wire& client : clients) {
-            std::optional<HttpText> answer;
-            (void)world.until([&] { return (answer = takeHttp(client.got)) || client.closed; }, 1500);
+        for (TestConnection& client : clients) {
+            std::optional<ParsedHttpMessage> answer;
+            (void)world.waitUntil(
+                [&] { return (answer = takeHttpMessage(client.received)) || client.closedByPeer; }, 1500);
             REQUIRE(answer);  // evhttp would close it unanswered after 2.5 s
-            CHECK(answer->code() == 200);
+            CHECK(answer->statusCode() == 200);
         }
     }
 }
 
 TEST_CASE("a bad value in the configuration: one line that names the field, and no start") {
-    const World world;
+    const ProgramHarness world;
     const auto refused = [&](const std::string& field, const std::function<void(Json&)>& spoil) {
         Json config = world.config;
         spoil(config);
-        const auto [code, text] = runOnce(config);
+        const auto [code, text] = runUntilExit(config);
         CHECK(code == 1);
         CHECK_MESSAGE(text.starts_with("martencove: " + field), text);
         CHECK(std::count(text.begin(), text.end(), '\n') == 1);
--- a/tests/program/list_test.cpp
+++ b/tests/program/list_test.cpp
@@ -17,15 +17,18 @@
 
 /// A program with one node that holds shard 5.
 struct Fleet {
-    explicit Fleet(bool start = true) : node(world.base.get(), serve) {
-        world.config["known"]["hosts"].push_back(world.entry("s-1", node.listener.address, 5, "ready"));
+    explicit Fleet(bool start = true) : node(world.base.get(), replyWithRequestId) {
+        world.config["known"]["hosts"].push_back(
+            world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
         if (start) world.start();
     }
     /// Whether a request of the shard finds nobody to serve it.
-    bool refused(const std::string& id) { return world.ask(world.request(id, "", 400)).code() == 503; }
+    bool refused(const std::string& id) {
+        return world.sendRequest(world.makeRequest(id, "", 400)).statusCode() == 503;
+    }
 
-    World world;
-    HttpNode node;
+    ProgramHarness world;
+    StubHttpNode node;
 };
 
 std::string listText(int seq, bool whole, const Json& hosts) {
@@ -38,90 +41,93 @@
 // first list, and with them the answer that says the program is ready.
 TEST_CASE("list: a start sends nothing by its old list while the first one is on its way") {
     Fleet t(false);
-    t.world.answerLists(false);
-    t.world.tell("s-1", t.node.listener.address, 5, "draining");
+    t.world.setDiscoveryAnswers(false);
+    t.world.announceNode("s-1", t.node.listener.address, 5, "draining");
     t.world.config["settings"]["Rules"]["DrainGraceMs"] = 60'000;  // nothing here comes to its bound
     bool asked = false;
-    std::unique_ptr<Wire> client;
+    std::unique_ptr<TestConnection> client;
     // A client that is there before the program is ready, and a list that comes once it has sent its request.
     t.world.whileStarting = [&] {
-        if (asked || t.world.watches == 0) return;
-        if (!client || client->closed) client = std::make_unique<Wire>(t.world.base.get(), t.world.listen);
+        if (asked || t.world.discoveryCallCount == 0) return;
+        if (!client || client->closedByPeer)
+            client = std::make_unique<TestConnection>(t.world.base.get(), t.world.listenAddress);
         if (!client->connected) return;
         asked = true;
-        client->send(t.world.request("0000000000000001", "", 900));
-        (void)t.world.until([&] { return !t.node.requests.empty(); }, 200);  // it has time to go wrong
-        t.world.answerLists(true);
+        client->send(t.world.makeRequest("0000000000000001", "", 900));
+        (void)t.world.waitUntil([&] { return !t.node.requests.empty(); }, 200);  // it has time to go wrong
+        t.world.setDiscoveryAnswers(true);
     };
     t.world.start();
-    REQUIRE(t.world.until([&] {
+    REQUIRE(t.world.waitUntil([&] {
         t.world.whileStarting();
         return asked;
     }));
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(client->got)).has_value() || client->closed; }));
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil(
+        [&] { return (answer = takeHttpMessage(client->received)).has_value() || client->closedByPeer; }));
     REQUIRE(answer);
-    CHECK(answer->code() == 503);
+    CHECK(answer->statusCode() == 503);
     CHECK(t.node.requests.empty());
-    CHECK(t.world.counter("started_unheard") == 0);
+    CHECK(t.world.readCounter("started_unheard") == 0);
 }
 
 TEST_CASE("list: a discovery that stays silent does not keep the program from its start") {
     Fleet t(false);
-    t.world.answerLists(false);
+    t.world.setDiscoveryAnswers(false);
     t.world.start();
-    CHECK(t.world.counter("started_unheard") == 1);
-    CHECK(t.world.ask(t.world.request("0000000000000001")).code() == 200);
+    CHECK(t.world.readCounter("started_unheard") == 1);
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).statusCode() == 200);
 }
 
 // Guards against an agent's word that is left unread: it counts as told although the program moves away.
 TEST_CASE("list: after SIGHUP the old address is heard until the new one has told its list") {
     Fleet t;
     int calls = 0;
-    Wire* asked = nullptr;
-    Listener moved(t.world.base.get(), [&](Wire& wire) {
-        if (takeHttp(wire.got)) ++calls, asked = &wire;
+    TestConnection* asked = nullptr;
+    TestServer moved(t.world.base.get(), [&](TestConnection& wire) {
+        if (takeHttpMessage(wire.received)) ++calls, asked = &wire;
     });
-    t.world.config["discovery"] = moved.address.text();
-    t.world.rewrite();
-    t.world.signal(SIGHUP);
-    REQUIRE(t.world.until([&] { return calls > 0; }));
-    const int watches = t.world.watches;
-    t.world.tell("s-1", t.node.listener.address, 5, "draining");
-    REQUIRE(t.world.until([&] { return t.world.watches > watches; }));
+    t.world.config["discovery"] = moved.address.toString();
+    t.world.rewriteConfig();
+    t.world.sendSignal(SIGHUP);
+    REQUIRE(t.world.waitUntil([&] { return calls > 0; }));
+    const int watches = t.world.discoveryCallCount;
+    t.world.announceNode("s-1", t.node.listener.address, 5, "draining");
+    REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount > watches; }));
     CHECK(t.refused("0000000000000001"));
     CHECK(t.node.requests.empty());
     // The new address lags behind: its whole list is older than what the old one told.
     const int before = calls;
-    REQUIRE(t.world.until([&] { return calls > before; }));
-    asked->send(httpReply(
-        200, listText(0, true, Json::array({t.world.entry("s-1", t.node.listener.address, 5, "ready")}))));
-    REQUIRE(t.world.until([&] { return t.world.counter("discovery_moved") == 1; }));
+    REQUIRE(t.world.waitUntil([&] { return calls > before; }));
+    asked->send(makeHttpReply(
+        200,
+        listText(0, true, Json::array({t.world.makeNodeEntry("s-1", t.node.listener.address, 5, "ready")}))));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("discovery_moved") == 1; }));
     CHECK(t.refused("0000000000000002"));
     CHECK(t.node.requests.empty());
-    CHECK(t.world.counter("discovery_stale") == 1);
+    CHECK(t.world.readCounter("discovery_stale") == 1);
 }
 
 TEST_CASE("list: an entry that makes no sense leaves the others in force, and the whole list is asked for") {
     Fleet t;
-    auto bad = t.world.entry("s-2", t.node.listener.address, 5, "ready");
+    auto bad = t.world.makeNodeEntry("s-2", t.node.listener.address, 5, "ready");
     bad["dial"] = "nowhere";
-    auto leaving = t.world.entry("s-1", t.node.listener.address, 5, "draining");
+    auto leaving = t.world.makeNodeEntry("s-1", t.node.listener.address, 5, "draining");
     leaving["block"] = "five";  // its leaving can be read all the same
-    t.world.tellRaw(listText(9, false, {leaving, bad, 7}));
-    REQUIRE(t.world.until([&] { return t.world.counter("discovery_entry_bad") >= 3; }));
+    t.world.replyRawToNextWatch(listText(9, false, {leaving, bad, 7}));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("discovery_entry_bad") >= 3; }));
     CHECK(t.refused("0000000000000001"));
     CHECK(t.node.requests.empty());
-    CHECK(t.world.counter("discovery_bad") == 0);
+    CHECK(t.world.readCounter("discovery_bad") == 0);
 }
 
 TEST_CASE("list: named twice in one update, the leaving counts") {
     Fleet t;
     const auto entry = [&](const char* health) {
-        return t.world.entry("s-1", t.node.listener.address, 5, health);
+        return t.world.makeNodeEntry("s-1", t.node.listener.address, 5, health);
     };
-    t.world.tellRaw(listText(9, false, {entry("draining"), entry("ready")}));
-    REQUIRE(t.world.until([&] { return t.world.counter("discovery_stale") == 1; }));
+    t.world.replyRawToNextWatch(listText(9, false, {entry("draining"), entry("ready")}));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("discovery_stale") == 1; }));
     CHECK(t.refused("0000000000000001"));
     CHECK(t.node.requests.empty());
 }
@@ -130,15 +136,15 @@
 TEST_CASE("list: an update that is cut off tells the leaving that stands before the cut") {
     Fleet t;
     const std::string text = listText(9, false,
-                                      {t.world.entry("s-1", t.node.listener.address, 5, "draining"),
-                                       t.world.entry("s-2", t.node.listener.address, 5, "ready")});
+                                      {t.world.makeNodeEntry("s-1", t.node.listener.address, 5, "draining"),
+                                       t.world.makeNodeEntry("s-2", t.node.listener.address, 5, "ready")});
     const std::string half = text.substr(0, text.find("s-2"));
-    SUBCASE("in its text") { t.world.tellRaw(half); }
+    SUBCASE("in its text") { t.world.replyRawToNextWatch(half); }
     SUBCASE("by its connection") {
-        t.world.tellThenClose("HTTP/1.1 200 X\r\nContent-Length: " + std::to_string(text.size()) +
-                              "\r\n\r\n" + half);
+        t.world.replyRawThenClose("HTTP/1.1 200 X\r\nContent-Length: " + std::to_string(text.size()) +
+                                  "\r\n\r\n" + half);
     }
-    REQUIRE(t.world.until([&] { return t.world.log.find("list not taken") != std::string::npos; }));
+    REQUIRE(t.world.waitUntil([&] { return t.world.log.find("list not taken") != std::string::npos; }));
     CHECK(t.refused("0000000000000001"));
     CHECK(t.node.requests.empty());
 }
@@ -147,14 +153,16 @@
 // call has to end well within the grace.
 TEST_CASE("list: a call to the agent is held for its part of the grace") {
     Fleet t;
-    REQUIRE(t.world.until([&] { return t.world.watched.find("wait_ms=") != std::string::npos; }));
-    CHECK(t.world.watched.find("wait_ms=150 ") != std::string::npos);
-    World onRequest;
+    REQUIRE(
+        t.world.waitUntil([&] { return t.world.lastDiscoveryCall.find("wait_ms=") != std::string::npos; }));
+    CHECK(t.world.lastDiscoveryCall.find("wait_ms=150 ") != std::string::npos);
+    ProgramHarness onRequest;
     onRequest.config["settings"]["Discovery"] = "on_request";
     onRequest.start();
     // 0.42 of the 6 s after which a change counts as told, and the grace.
-    REQUIRE(onRequest.until([&] { return onRequest.watched.find("wait_ms=") != std::string::npos; }));
-    CHECK(onRequest.watched.find("wait_ms=2940 ") != std::string::npos);
+    REQUIRE(onRequest.waitUntil(
+        [&] { return onRequest.lastDiscoveryCall.find("wait_ms=") != std::string::npos; }));
+    CHECK(onRequest.lastDiscoveryCall.find("wait_ms=2940 ") != std::string::npos);
 }
 
 // Guards against a second held call, whose silence shows as late as the first one's: what the first has
@@ -163,14 +171,15 @@
     Fleet t(false);
     t.world.config["settings"]["Discovery"] = "on_request";
     t.world.start();
-    REQUIRE(t.world.until([&] { return t.world.watched.find("wait_ms=2940 ") != std::string::npos; }));
-    t.world.answerLists(false);
-    const int calls = t.world.watches;
-    t.world.tell("s-1", t.node.listener.address, 5, "draining");
-    REQUIRE(t.world.until([&] { return t.world.watches > calls; }));
-    CHECK(t.world.watched.find("wait_ms=1 ") != std::string::npos);
-    t.world.answerLists(true);
-    REQUIRE(t.world.until([&] { return t.world.counter("server_leaves") == 1; }));
+    REQUIRE(t.world.waitUntil(
+        [&] { return t.world.lastDiscoveryCall.find("wait_ms=2940 ") != std::string::npos; }));
+    t.world.setDiscoveryAnswers(false);
+    const int calls = t.world.discoveryCallCount;
+    t.world.announceNode("s-1", t.node.listener.address, 5, "draining");
+    REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount > calls; }));
+    CHECK(t.world.lastDiscoveryCall.find("wait_ms=1 ") != std::string::npos);
+    t.world.setDiscoveryAnswers(true);
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("server_leaves") == 1; }));
     CHECK(t.refused("0000000000000001"));
     CHECK(t.node.requests.empty());
 }
@@ -178,10 +187,12 @@
 namespace {
 
 /// Runs the loop until discovery has got a call that waits for news, and one more.
-void newWatch(World& world) {
-    const int before = world.watches;
-    REQUIRE(world.until(
-        [&] { return world.watches > before && world.watched.find("wait_ms=") != std::string::npos; }));
+void newWatch(ProgramHarness& world) {
+    const int before = world.discoveryCallCount;
+    REQUIRE(world.waitUntil([&] {
+        return world.discoveryCallCount > before &&
+               world.lastDiscoveryCall.find("wait_ms=") != std::string::npos;
+    }));
 }
 double msSince(std::chrono::steady_clock::time_point then) {
     return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - then).count();
@@ -196,43 +207,43 @@
     const std::string text = Json{{"seq", 3},
                                   {"whole", true},
                                   {"hosts",
-                                   {t.world.entry("s-1", t.node.listener.address, 5, "draining"),
-                                    t.world.entry("s-2", t.node.listener.address, 6, "ready")}}}
+                                   {t.world.makeNodeEntry("s-1", t.node.listener.address, 5, "draining"),
+                                    t.world.makeNodeEntry("s-2", t.node.listener.address, 6, "ready")}}}
                                  .dump(4);
-    const std::string answer = httpReply(200, text);
+    const std::string answer = makeHttpReply(200, text);
     struct Half {
-        Wire* wire;
+        TestConnection* wire;
         std::chrono::steady_clock::time_point due;
     };
     std::list<Half> halves;
-    Listener agent(t.world.base.get(), [&](Wire& wire) {
-        const auto call = takeHttp(wire.got);
-        if (!call || call->line().find('?') != std::string::npos) return;  // a watch has no news
+    TestServer agent(t.world.base.get(), [&](TestConnection& wire) {
+        const auto call = takeHttpMessage(wire.received);
+        if (!call || call->startLine().find('?') != std::string::npos) return;  // a watch has no news
         wire.send(answer.substr(0, answer.find("s-2")));
         halves.push_back({&wire, std::chrono::steady_clock::now() + std::chrono::milliseconds(250)});
     });
     const auto finish = [&] {
         std::erase_if(halves, [&](const Half& half) {
-            if (half.wire->closed) return true;
+            if (half.wire->closedByPeer) return true;
             if (std::chrono::steady_clock::now() < half.due) return false;
             half.wire->send(answer.substr(answer.find("s-2")));
             return true;
         });
     };
-    t.world.config["discovery"] = agent.address.text();
+    t.world.config["discovery"] = agent.address.toString();
     t.world.whileStarting = finish;
     t.world.start();
     const auto heard = [&] {
         finish();
         return t.world.log.find("heard_before_ms") != std::string::npos;
     };
-    REQUIRE(t.world.until(heard));
+    REQUIRE(t.world.waitUntil(heard));
     CHECK(t.refused("0000000000000001"));  // what stands before the cut counts at once
     const auto whole = [&] {
         finish();
-        return t.world.counter("discovery_list") > 0;
+        return t.world.readCounter("discovery_list") > 0;
     };
-    CHECK(t.world.until(whole, 8000));
+    CHECK(t.world.waitUntil(whole, 8000));
     CHECK(t.node.requests.empty());
 }
 
@@ -240,12 +251,12 @@
 TEST_CASE("list: without a grace, failed calls to the agent rest between each other") {
     Fleet t(false);
     t.world.config["settings"]["Rules"].erase("DrainGraceMs");
-    const FreeAddress nobody;
-    t.world.config["discovery"] = nobody.text();
+    const ReservedAddress nobody;
+    t.world.config["discovery"] = nobody.toString();
     t.world.start();
-    (void)t.world.until([] { return false; }, 500);
-    CHECK(t.world.counter("discovery_failed") > 0);
-    CHECK(t.world.counter("discovery_failed") < 50);  // rests of 50 ms at least: late ones make it fewer
+    (void)t.world.waitUntil([] { return false; }, 500);
+    CHECK(t.world.readCounter("discovery_failed") > 0);
+    CHECK(t.world.readCounter("discovery_failed") < 50);  // rests of 50 ms at least: late ones make it fewer
 }
 
 // Guards against a grace that is given out twice: to the call that fell silent, and whole to the next.
@@ -254,73 +265,74 @@
     t.world.config["settings"]["Rules"]["DrainGraceMs"] = 4000;
     t.world.start();
     newWatch(t.world);
-    t.world.answerLists(false);
+    t.world.setDiscoveryAnswers(false);
     const auto told = std::chrono::steady_clock::now();
-    const int calls = t.world.watches;
-    t.world.tell("s-1", t.node.listener.address, 5, "draining");
-    REQUIRE(t.world.until([&] { return t.world.watches == calls + 1; }));
-    t.world.fallSilent();
-    REQUIRE(t.world.until([&] { return t.world.watches == calls + 2; }));
-    CHECK(msSince(told) < 4000);                                   // under half of it without noise
-    CHECK(t.world.watched.find("wait_ms=") == std::string::npos);  // for all that the agent holds
-    t.world.answerLists(true);
+    const int calls = t.world.discoveryCallCount;
+    t.world.announceNode("s-1", t.node.listener.address, 5, "draining");
+    REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount == calls + 1; }));
+    t.world.dropPendingDiscoveryCalls();
+    REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount == calls + 2; }));
+    CHECK(msSince(told) < 4000);                                             // under half of it without noise
+    CHECK(t.world.lastDiscoveryCall.find("wait_ms=") == std::string::npos);  // for all that the agent holds
+    t.world.setDiscoveryAnswers(true);
     newWatch(t.world);
     CHECK(t.refused("0000000000000001"));
     CHECK(t.node.requests.empty());
-    CHECK(t.world.counter("discovery_silent") == 2);
+    CHECK(t.world.readCounter("discovery_silent") == 2);
 }
 
 // Guards against an attempt that waits for its connection while its node is announced as leaving: the rule
 // counts the first byte, whenever the attempt was decided.
 TEST_CASE("list: what was decided before the list came and has not begun to go out is taken back") {
     Fleet t(false);
-    Jam jam;
+    FullBacklogServer jam;
     t.world.config["settings"]["Limits"]["DialTimeoutMs"] = 60'000;
-    t.world.config["known"]["hosts"] = Json::array({t.world.entry("s-1", jam.address, 5, "ready")});
+    t.world.config["known"]["hosts"] = Json::array({t.world.makeNodeEntry("s-1", jam.address, 5, "ready")});
     t.world.start();
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001", "", 5000));
-    REQUIRE(t.world.until([&] { return t.world.counter("attempt_sent") == 1; }));
-    t.world.tell("s-1", jam.address, 5, "draining");
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(client.got)).has_value(); }));
-    CHECK(answer->code() == 503);  // it never ran
-    CHECK(t.world.counter("attempt_withdrawn") == 1);
-    (void)t.world.until([&] { return !jam.text().empty(); }, 100);
-    CHECK(jam.text().empty());
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001", "", 5000));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("attempt_sent") == 1; }));
+    t.world.announceNode("s-1", jam.address, 5, "draining");
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil([&] { return (answer = takeHttpMessage(client.received)).has_value(); }));
+    CHECK(answer->statusCode() == 503);  // it never ran
+    CHECK(t.world.readCounter("attempt_withdrawn") == 1);
+    (void)t.world.waitUntil([&] { return !jam.acceptAndRead().empty(); }, 100);
+    CHECK(jam.acceptAndRead().empty());
 }
 
 // Guards against an attempt that is spared since it is young: the list that names its node may have come
 // late.
 TEST_CASE("list: a silent watch, a late connection and a draining node at once") {
     Fleet t(false);
-    Jam jam;
+    FullBacklogServer jam;
     t.world.config["settings"]["Limits"]["DialTimeoutMs"] = 60'000;
     t.world.config["settings"]["Rules"]["DrainGraceMs"] =
         20'000;  // a tenth is longer than a second dial takes
-    t.world.config["known"]["hosts"] = Json::array({t.world.entry("s-1", jam.address, 5, "ready")});
+    t.world.config["known"]["hosts"] = Json::array({t.world.makeNodeEntry("s-1", jam.address, 5, "ready")});
     t.world.start();
     newWatch(t.world);
-    t.world.answerLists(false);
-    t.world.tell("s-1", jam.address, 5, "draining");
-    const int calls = t.world.watches;
-    REQUIRE(t.world.until([&] { return t.world.watches > calls; }));
+    t.world.setDiscoveryAnswers(false);
+    t.world.announceNode("s-1", jam.address, 5, "draining");
+    const int calls = t.world.discoveryCallCount;
+    REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount > calls; }));
     // The next call is on its way, and its answer not yet: an attempt begins.
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001", "", 5000));
-    REQUIRE(t.world.until([&] { return t.world.counter("attempt_sent") == 1; }));
-    t.world.answerLists(true);
-    REQUIRE(t.world.until([&] { return t.world.counter("discovery_list") > 1; }));
-    (void)jam.text();  // the connection may come up from here on
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until([&] {
-        (void)jam.text();
-        return (answer = takeHttp(client.got)).has_value();
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001", "", 5000));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("attempt_sent") == 1; }));
+    t.world.setDiscoveryAnswers(true);
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("discovery_list") > 1; }));
+    (void)jam.acceptAndRead();  // the connection may come up from here on
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil([&] {
+        (void)jam.acceptAndRead();
+        return (answer = takeHttpMessage(client.received)).has_value();
     }));
-    (void)t.world.until([&] { return !jam.text().empty(); }, 1500);  // a second dial comes after 1 s
-    CHECK(jam.text().empty());
-    CHECK(answer->code() == 503);
-    CHECK(t.world.counter("attempt_withdrawn") == 1);
+    (void)t.world.waitUntil([&] { return !jam.acceptAndRead().empty(); },
+                            1500);  // a second dial comes after 1 s
+    CHECK(jam.acceptAndRead().empty());
+    CHECK(answer->statusCode() == 503);
+    CHECK(t.world.readCounter("attempt_withdrawn") == 1);
 }
 
 // Guards against caps and costs that only a large fleet meets.
@@ -329,15 +341,16 @@
     SUBCASE("400 servers, 350 peers") { servers = 400, peerCount = 350; }
     SUBCASE("1,024 of both") { servers = 1024, peerCount = 1024; }
     constexpr double kGraceMs = 4000;
-    World world;
+    ProgramHarness world;
     world.config["settings"]["Rules"]["DrainGraceMs"] = kGraceMs;
-    HttpNode leaving(world.base.get(), serve), staying(world.base.get(), serve);
-    Json hosts = Json::array(), peers = Json::array({world.peerListen.text()});
+    StubHttpNode leaving(world.base.get(), replyWithRequestId), staying(world.base.get(), replyWithRequestId);
+    Json hosts = Json::array(), peers = Json::array({world.peerListenAddress.toString()});
     const std::string longName(255, 'n');
     for (int i = 0; i < std::max(servers, peerCount); ++i) {
         const std::string name = std::to_string(i) + longName;
-        const HttpNode& node = i == 5 ? leaving : staying;
-        if (i < servers) hosts.push_back(world.entry(name.substr(0, 255), node.listener.address, i, "ready"));
+        const StubHttpNode& node = i == 5 ? leaving : staying;
+        if (i < servers)
+            hosts.push_back(world.makeNodeEntry(name.substr(0, 255), node.listener.address, i, "ready"));
         if (i > 0 && i < peerCount)
             peers.push_back("127.1." + std::to_string(i / 256) + '.' + std::to_string(i % 256) + ":7946");
     }
@@ -346,47 +359,48 @@
     world.config["settings"]["Siblings"] = peerCount;
     world.config["settings"]["FamilyInfo"]["Shards"] = servers;
     world.start();
-    CHECK(world.counter("discovery_list") >= 1);
-    CHECK(world.counter("discovery_bad") + world.counter("node_not_kept") == 0);
+    CHECK(world.readCounter("discovery_list") >= 1);
+    CHECK(world.readCounter("discovery_bad") + world.readCounter("node_not_kept") == 0);
     const auto at = [&](const std::string& id, int shard) {
-        std::string text = world.request(id, "", 400);
+        std::string text = world.makeRequest(id, "", 400);
         const std::string own = "shard=5,";
         return text.replace(text.find(own), own.size(), "shard=" + std::to_string(shard) + ',');
     };
-    CHECK(world.ask(at("0000000000000001", 5)).code() == 200);
+    CHECK(world.sendRequest(at("0000000000000001", 5)).statusCode() == 200);
     CHECK(leaving.requests.size() == 1);
-    CHECK(world.ask(at("0000000000000002", servers - 1)).code() == 200);
+    CHECK(world.sendRequest(at("0000000000000002", servers - 1)).statusCode() == 200);
     // Its list is silent when it begins to drain, and so is the call after that; the third is answered.
     newWatch(world);
-    world.answerLists(false);
+    world.setDiscoveryAnswers(false);
     const auto told = std::chrono::steady_clock::now();
-    const int watches = world.watches;
+    const int watches = world.discoveryCallCount;
     double lastMs = 0;
-    leaving.answer = [&](Wire& wire, const HttpText& request) {
+    leaving.handler = [&](TestConnection& wire, const ParsedHttpMessage& request) {
         lastMs = msSince(told);
-        serve(wire, request);
+        replyWithRequestId(wire, request);
     };
-    world.tell(hosts[5]["host"], leaving.listener.address, 5, "draining");
+    world.announceNode(hosts[5]["host"], leaving.listener.address, 5, "draining");
     bool silent = false;
     int refused = 0;
     // Bounded by time, not by a number of requests: a fast machine asks 10,000 before the third call.
     for (unsigned i = 3; refused < 3 && msSince(told) < 5 * kGraceMs; ++i) {
         char id[17];
         std::snprintf(id, sizeof id, "%016x", i);
-        refused += world.ask(at(id, 5)).code() == 503;
-        if (!silent && world.watches > watches) world.fallSilent(), world.answerLists(true), silent = true;
+        refused += world.sendRequest(at(id, 5)).statusCode() == 503;
+        if (!silent && world.discoveryCallCount > watches)
+            world.dropPendingDiscoveryCalls(), world.setDiscoveryAnswers(true), silent = true;
     }
     CHECK(refused == 3);
     CHECK(lastMs > 0);
     CHECK(lastMs < kGraceMs);  // under half of it without noise
-    CHECK(world.ask(at("ffffffffffffffff", 6)).code() == 200);
-    CHECK(world.end() == 0);
+    CHECK(world.sendRequest(at("ffffffffffffffff", 6)).statusCode() == 200);
+    CHECK(world.stopAndWait() == 0);
 }
 
 // Guards against datagrams lost for want of room or of turns: all peers bid at the same moment.
 TEST_CASE("peers: a burst of one datagram from each of 1,024 is heard whole") {
-    World world;
-    Json peers = Json::array({world.peerListen.text()});
+    ProgramHarness world;
+    Json peers = Json::array({world.peerListenAddress.toString()});
     std::vector<int> sockets;
     for (int i = 1; i < 1024; ++i) {
         sockets.push_back(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
@@ -399,13 +413,13 @@
     world.config["peers"] = peers;
     world.config["settings"]["Siblings"] = 1024;
     world.start();
-    world.signal(SIGSTOP);  // they all come before it reads one
-    const sockaddr_in to = world.peerListen.socketAddress();
+    world.sendSignal(SIGSTOP);  // they all come before it reads one
+    const sockaddr_in to = world.peerListenAddress.socketAddress();
     const std::string text(256, 'x');
     for (const int fd : sockets)
         CHECK(sendto(fd, text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to) ==
               256);
-    world.signal(SIGCONT);
-    CHECK(world.until([&] { return world.counter("peer_received") == 1023; }, 5000));
+    world.sendSignal(SIGCONT);
+    CHECK(world.waitUntil([&] { return world.readCounter("peer_received") == 1023; }, 5000));
     for (const int fd : sockets) close(fd);
 }
--- a/tests/program/long_test.cpp
+++ b/tests/program/long_test.cpp
@@ -16,13 +16,14 @@
 }
 
 struct LongNode {
-    explicit LongNode(HttpNode::Answer answer) : node(world.base.get(), std::move(answer)) {
-        world.config["known"]["hosts"].push_back(world.entry("s-1", node.listener.address, 5, "ready"));
+    explicit LongNode(StubHttpNode::Handler answer) : node(world.base.get(), std::move(answer)) {
+        world.config["known"]["hosts"].push_back(
+            world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
         world.config["limits"] = {{"memory_mb", 16}, {"sockets", 512}};
         world.start();
     }
-    World world;
-    HttpNode node;
+    ProgramHarness world;
+    StubHttpNode node;
 };
 
 std::string head(std::size_t length) {
@@ -34,117 +35,120 @@
 // Guards against answers refused, or held, that are longer than what memory there is for them.
 TEST_CASE("long answer: 32 MB come whole with 16 MB of memory, and no more is read than the client takes") {
     const std::string body = longBody(kLong);
-    LongNode t([&](Wire& wire, const HttpText&) { wire.send(head(kLong) + body); });
-    Wire& client = t.world.connect();
-    client.read(false);
-    client.send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return t.world.counter("answer_passed_on") == 1; }));
-    (void)t.world.until([] { return false; }, 200);
-    CHECK(t.world.counter("answer_bytes") < 512 * 1024);  // and what the sockets take
-    CHECK(t.world.counter("attempt_served") == 1);
-    client.read(true);
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(client.got)).has_value() || client.closed; }));
+    LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) { wire.send(head(kLong) + body); });
+    TestConnection& client = t.world.connect();
+    client.setReading(false);
+    client.send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_passed_on") == 1; }));
+    (void)t.world.waitUntil([] { return false; }, 200);
+    CHECK(t.world.readCounter("answer_bytes") < 512 * 1024);  // and what the sockets take
+    CHECK(t.world.readCounter("attempt_served") == 1);
+    client.setReading(true);
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil(
+        [&] { return (answer = takeHttpMessage(client.received)).has_value() || client.closedByPeer; }));
     REQUIRE(answer);
-    CHECK(answer->code() == 200);
+    CHECK(answer->statusCode() == 200);
     CHECK(answer->header("Content-Type") == "x/y");
     CHECK(answer->body == body);
-    REQUIRE(t.world.until([&] { return t.world.counter("answer_bytes") == 0; }));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_bytes") == 0; }));
     // Both connections go on.
-    t.world.rest();
-    t.node.answer = serve;
-    client.send(t.world.request("0000000000000002"));
-    REQUIRE(t.world.until([&] { return (answer = takeHttp(client.got)).has_value() || client.closed; }));
+    t.world.waitForNodeReuse();
+    t.node.handler = replyWithRequestId;
+    client.send(t.world.makeRequest("0000000000000002"));
+    REQUIRE(t.world.waitUntil(
+        [&] { return (answer = takeHttpMessage(client.received)).has_value() || client.closedByPeer; }));
     REQUIRE(answer);
-    CHECK(answer->code() == 200);
-    CHECK(t.node.listener.wires.size() == 1);
-    CHECK(t.world.end() == 0);
+    CHECK(answer->statusCode() == 200);
+    CHECK(t.node.listener.connections.size() == 1);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("long answer: in chunks it goes on in chunks") {
     const std::string piece = longBody(40'000);
-    LongNode t([&](Wire& wire, const HttpText&) {
+    LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) {
         wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int i = 0; i < 50; ++i) wire.send("9c40\r\n" + piece + "\r\n");
         wire.send("0\r\n\r\n");
     });
-    const HttpText answer = t.world.ask(t.world.request("0000000000000001"));
+    const ParsedHttpMessage answer = t.world.sendRequest(t.world.makeRequest("0000000000000001"));
     CHECK(answer.header("Transfer-Encoding") == "chunked");
     REQUIRE(answer.body.size() == 50 * piece.size());
     CHECK(answer.body.substr(49 * piece.size()) == piece);
-    CHECK(t.world.counter("attempt_served") == 1);
+    CHECK(t.world.readCounter("attempt_served") == 1);
 }
 
 // Guards against a break that looks like an end, and against a second attempt behind half an answer.
 TEST_CASE("long answer: a break in the middle is one that the client can tell") {
-    Wire* held = nullptr;
-    LongNode t([&](Wire& wire, const HttpText&) { held = &wire; });
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return held != nullptr; }));
+    TestConnection* held = nullptr;
+    LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) { held = &wire; });
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return held != nullptr; }));
     SUBCASE("with a length") { held->send(head(1'000'000) + longBody(300'000)); }
     SUBCASE("in chunks") {
         held->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int i = 0; i < 10; ++i) held->send("7530\r\n" + longBody(30'000) + "\r\n");
     }
-    REQUIRE(t.world.until([&] { return client.got.size() > 250'000; }));
-    CHECK_FALSE(client.closed);
+    REQUIRE(t.world.waitUntil([&] { return client.received.size() > 250'000; }));
+    CHECK_FALSE(client.closedByPeer);
     held->close();
-    REQUIRE(t.world.until([&] { return client.closed; }));
-    CHECK_FALSE(client.got.ends_with("0\r\n\r\n"));
-    CHECK(client.got.size() < 400'000);
-    CHECK(t.world.counter("answer_cut") == 1);
+    REQUIRE(t.world.waitUntil([&] { return client.closedByPeer; }));
+    CHECK_FALSE(client.received.ends_with("0\r\n\r\n"));
+    CHECK(client.received.size() < 400'000);
+    CHECK(t.world.readCounter("answer_cut") == 1);
     CHECK(t.node.requests.size() == 1);
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("long answer: what breaks before its first bytes is tried again") {
     bool first = true;
-    LongNode t([&](Wire& wire, const HttpText&) {
+    LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) {
         std::exchange(first, false) ? wire.close() : wire.send(head(300'000) + longBody(300'000));
     });
-    CHECK(t.world.ask(t.world.request("0000000000000001")).body == longBody(300'000));
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).body == longBody(300'000));
     CHECK(t.node.requests.size() == 2);
 }
 
 TEST_CASE("long answer: a client that leaves ends it, and SIGTERM waits for its last byte") {
-    Wire* held = nullptr;
-    LongNode t([&](Wire& wire, const HttpText&) { held = &wire; });
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return held != nullptr; }));
+    TestConnection* held = nullptr;
+    LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) { held = &wire; });
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return held != nullptr; }));
     held->send(head(200'000) + longBody(100'000));
-    REQUIRE(t.world.until([&] { return client.got.size() > 100'000; }));
+    REQUIRE(t.world.waitUntil([&] { return client.received.size() > 100'000; }));
     SUBCASE("leaves") {
         client.close();
-        REQUIRE(t.world.until([&] { return held->closed; }));
+        REQUIRE(t.world.waitUntil([&] { return held->closedByPeer; }));
     }
     SUBCASE("SIGTERM") {
-        t.world.signal(SIGTERM);
-        (void)t.world.until([] { return false; }, 1200);  // past the listener's end
+        t.world.sendSignal(SIGTERM);
+        (void)t.world.waitUntil([] { return false; }, 1200);  // past the listener's end
         CHECK(t.world.running());
         held->send(longBody(100'000));
-        std::optional<HttpText> answer;
-        REQUIRE(t.world.until([&] { return (answer = takeHttp(client.got)).has_value() || client.closed; }));
+        std::optional<ParsedHttpMessage> answer;
+        REQUIRE(t.world.waitUntil(
+            [&] { return (answer = takeHttpMessage(client.received)).has_value() || client.closedByPeer; }));
         REQUIRE(answer);
         CHECK(answer->body.size() == 200'000);
     }
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("an answer without a length is whole once its node ends the connection; a reset is no end") {
     bool first = true, cut = false;
     std::size_t bytes = 0;
-    LongNode t([&](Wire& wire, const HttpText& request) {
-        if (!std::exchange(first, false)) return serve(wire, request);
+    LongNode t([&](TestConnection& wire, const ParsedHttpMessage& request) {
+        if (!std::exchange(first, false)) return replyWithRequestId(wire, request);
         const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + longBody(bytes);
-        cut ? wire.sendAndReset(text) : wire.sendLast(text);
+        cut ? wire.sendAndReset(text) : wire.sendAndShutdown(text);
     });
     SUBCASE("short") { bytes = 1000; }
     SUBCASE("long") { bytes = 300'000; }
     SUBCASE("reset") { bytes = 1000, cut = true; }
-    const HttpText answer = t.world.ask(t.world.request("0000000000000001"));
-    CHECK(answer.code() == 200);
+    const ParsedHttpMessage answer = t.world.sendRequest(t.world.makeRequest("0000000000000001"));
+    CHECK(answer.statusCode() == 200);
     if (cut) {
         CHECK(t.node.requests.size() == 2);
         CHECK(answer.body == "made for 0000000000000001:");
--- a/tests/program/nbd_site.h
+++ b/tests/program/nbd_site.h
@@ -16,7 +16,8 @@
         world.config["settings"]["Limits"]["MaxOpen"] = mostOpen;
         for (Json& one : world.config["settings"]["Classes"])
             one["DeadlineMs"] = std::max(deadlineMs, one["DeadlineMs"].get<int>());
-        world.config["known"]["hosts"].push_back(world.entry("s-1", node.listener.address, 5, "ready"));
+        world.config["known"]["hosts"].push_back(
+            world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
         const Json disk{{"name", "disk"},
                         {"bytes", kSize},
                         {"volume", "v"},
@@ -30,57 +31,57 @@
         capped.update({{"name", "capped"}, {"plan", "capped"}, {"volume", "w"}, {"read_only", true}});
         nowhere.update({{"name", "nowhere"}, {"shard", 9}, {"read_deadline_ms", 400}});
         atOnce.update({{"name", "at once"}, {"read_deadline_ms", 1e-9}});
-        world.nbd = {{"listen", world.nbdListen.text()},
-                     {"unit_bytes", 512},
-                     {"exports", {disk, capped, nowhere, atOnce}},
-                     {"nodes", {{"s-1", node.listener.address.text()}}}};
+        world.nbdSection = {{"listen", world.nbdListenAddress.toString()},
+                            {"unit_bytes", 512},
+                            {"exports", {disk, capped, nowhere, atOnce}},
+                            {"nodes", {{"s-1", node.listener.address.toString()}}}};
         world.start();
     }
     bool until(const std::function<bool()>& holds) {
-        return world.until([&] {
+        return world.waitUntil([&] {
             node.greet();
             return holds();
         });
     }
     /// A client after its greeting.
-    Wire& client() {
-        Wire& wire = world.connect(world.nbdListen);
+    TestConnection& client() {
+        TestConnection& wire = world.connect(world.nbdListenAddress);
         Greeting greeting;
-        REQUIRE(until([&] { return takeFrom(wire.got, greeting); }));
+        REQUIRE(until([&] { return takeFrom(wire.received, greeting); }));
         wire.send(encodeClientFlags(kFixedNewstyle | kNoZeroes));
         return wire;
     }
-    OptionAnswer option(Wire& wire, Option option, const std::string& data = "") {
+    OptionReplyMessage option(TestConnection& wire, Option option, const std::string& data = "") {
         wire.send(encode(OptionMessage{option, data}));
         return next(wire);
     }
-    OptionAnswer next(Wire& wire) {
-        OptionAnswer answer;
-        REQUIRE(until([&] { return takeFrom(wire.got, answer, kMost); }));
+    OptionReplyMessage next(TestConnection& wire) {
+        OptionReplyMessage answer;
+        REQUIRE(until([&] { return takeFrom(wire.received, answer, kMost); }));
         return answer;
     }
     /// A client that may send commands.
-    Wire& ready(const std::string& name = "disk", bool structured = true) {
-        Wire& wire = client();
-        if (structured) CHECK(option(wire, Option::structuredReply).reply == OptionReply::ack);
-        OptionAnswer answer = option(wire, Option::go, encode(InfoRequest{name, {}}));
-        while (answer.reply == OptionReply::info) answer = next(wire);
-        CHECK(answer.reply == OptionReply::ack);
+    TestConnection& ready(const std::string& name = "disk", bool structured = true) {
+        TestConnection& wire = client();
+        if (structured) CHECK(option(wire, Option::structuredReply).type == OptionReplyType::ack);
+        OptionReplyMessage answer = option(wire, Option::go, encode(InfoRequest{name, {}}));
+        while (answer.type == OptionReplyType::info) answer = next(wire);
+        CHECK(answer.type == OptionReplyType::ack);
         return wire;
     }
-    ChunkMessage reply(Wire& wire) {
+    ChunkMessage reply(TestConnection& wire) {
         ChunkMessage out;
-        REQUIRE(until([&] { return takeFrom(wire.got, out, kMost); }));
-        CHECK(out.flags == kDone);
+        REQUIRE(until([&] { return takeFrom(wire.received, out, kMost); }));
+        CHECK(out.flags == kReplyFlagDone);
         return out;
     }
-    ChunkMessage ask(Wire& wire, const CommandMessage& command) {
+    ChunkMessage ask(TestConnection& wire, const CommandMessage& command) {
         wire.send(encode(command));
         const ChunkMessage out = reply(wire);
         CHECK(out.cookie == command.cookie);
         return out;
     }
-    World world;
+    ProgramHarness world;
     NbdNode node;
 };
 
--- a/tests/program/retune_test.cpp
+++ b/tests/program/retune_test.cpp
@@ -11,38 +11,39 @@
 using limedrum::fields::FieldError;
 
 TEST_CASE("retune: unchanged classes keep their numbers, others get new ones, plans keep their places") {
-    World world;
+    ProgramHarness world;
     const Json json = world.config["settings"];
-    limedrum::Site now = limedrum::decodeSettings(json);
+    limedrum::ProgramSettings now = limedrum::decodeSettings(json);
     Json changed = json;
     changed["Classes"] = Json::array({json["Classes"][1], json["Classes"][0]});  // in another order
     changed["Classes"][0]["Idempotency"] = "fragile";  // and "write" has another effect
-    limedrum::Site next = limedrum::retuned(now, limedrum::decodeSettings(changed));
+    limedrum::ProgramSettings next = limedrum::mergeSettings(now, limedrum::decodeSettings(changed));
     CHECK(next.classNames == std::vector<std::string>{"read", "/", "write"});
-    CHECK(next.module.classes[1].repeat == limedrum::Repeat::keyed);  // for those that hold the number
-    CHECK(next.module.classes[1].dropped);
-    CHECK(next.module.classes[2].repeat == limedrum::Repeat::unsafe);
+    CHECK(next.scheduler.classes[1].idempotency ==
+          limedrum::Idempotency::deduplicated);  // for those that hold the number
+    CHECK(next.scheduler.classes[1].retired);
+    CHECK(next.scheduler.classes[2].idempotency == limedrum::Idempotency::nonIdempotent);
     // And back: the number with the old rules is taken again, so that the table does not grow.
-    next = limedrum::retuned(next, limedrum::decodeSettings(json));
+    next = limedrum::mergeSettings(next, limedrum::decodeSettings(json));
     CHECK(next.classNames == std::vector<std::string>{"read", "write", "/"});
-    CHECK(!next.module.classes[1].dropped);
+    CHECK(!next.scheduler.classes[1].retired);
 
     Json bad = json;
     bad["ServiceLevels"].erase(0);
-    CHECK_THROWS_AS((void)limedrum::retuned(now, limedrum::decodeSettings(bad)), FieldError);
+    CHECK_THROWS_AS((void)limedrum::mergeSettings(now, limedrum::decodeSettings(bad)), FieldError);
     bad = json;
     bad["Classes"][1]["Name"] = "read";
-    CHECK_THROWS_AS((void)limedrum::retuned(now, limedrum::decodeSettings(bad)), FieldError);
+    CHECK_THROWS_AS((void)limedrum::mergeSettings(now, limedrum::decodeSettings(bad)), FieldError);
     bad = json;
     for (int i = 0; i < 2000; ++i) {  // a table that would grow for good is bounded
         bad["Classes"][0]["AimMs"] = 300 + i;
         try {
-            now = limedrum::retuned(now, limedrum::decodeSettings(bad));
+            now = limedrum::mergeSettings(now, limedrum::decodeSettings(bad));
         } catch (const FieldError&) {
             break;
         }
     }
-    CHECK(now.module.classes.size() == 1024);
+    CHECK(now.scheduler.classes.size() == 1024);
 }
 
 TEST_CASE("retune: a file that lacks what the present one has is not whole") {
@@ -65,23 +66,24 @@
 
 TEST_CASE(
     "SIGHUP: new classes come into force, open requests keep the old rules, broken files change nothing") {
-    World world;
-    std::vector<Wire*> held;
-    HttpNode node(world.base.get(), [&](Wire& wire, const HttpText&) { held.push_back(&wire); });
-    world.config["known"]["hosts"].push_back(world.entry("s-1", node.listener.address, 5, "ready"));
+    ProgramHarness world;
+    std::vector<TestConnection*> held;
+    StubHttpNode node(world.base.get(),
+                      [&](TestConnection& wire, const ParsedHttpMessage&) { held.push_back(&wire); });
+    world.config["known"]["hosts"].push_back(world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
     world.start();
     const Json good = world.config;
     // A read that is open while its class changes to one that may not be repeated.
-    Wire& before = world.connect();
-    before.send(world.request("0000000000000001"));
-    REQUIRE(world.until([&] { return held.size() == 1; }));
+    TestConnection& before = world.connect();
+    before.send(world.makeRequest("0000000000000001"));
+    REQUIRE(world.waitUntil([&] { return held.size() == 1; }));
 
     int bads = 0;
     const auto refused = [&](const std::string& text) {
-        world.rewrite(text);
-        world.signal(SIGHUP);
+        world.rewriteConfig(text);
+        world.sendSignal(SIGHUP);
         ++bads;
-        return world.until([&] { return world.counter("config_bad") == bads; });
+        return world.waitUntil([&] { return world.readCounter("config_bad") == bads; });
     };
     const auto broken = [&](const std::function<void(Json&)>& change) {
         Json bad = good;
@@ -101,31 +103,31 @@
 
     world.config["settings"]["Classes"][0]["Idempotency"] = "fragile";
     world.config["settings"]["Classes"][1]["Name"] = "scan";
-    world.rewrite();
-    world.signal(SIGHUP);
-    REQUIRE(world.until([&] { return world.counter("config_read") == 1; }));
+    world.rewriteConfig();
+    world.sendSignal(SIGHUP);
+    REQUIRE(world.waitUntil([&] { return world.readCounter("config_read") == 1; }));
     const auto with = [&](const std::string& id, const std::string& cls) {
-        std::string text = world.request(id);
+        std::string text = world.makeRequest(id);
         return text.replace(text.find("/read"), 5, "/" + cls);
     };
-    CHECK(world.ask(with("0000000000000002", "write")).code() == 400);  // dropped
-    Wire& scan = world.connect();
+    CHECK(world.sendRequest(with("0000000000000002", "write")).statusCode() == 400);  // dropped
+    TestConnection& scan = world.connect();
     scan.send(with("0000000000000003", "scan"));
-    REQUIRE(world.until([&] { return held.size() == 2; }));
-    held[1]->send(httpReply(200, "scanned"));
-    REQUIRE(world.until([&] { return takeHttp(scan.got).has_value(); }));
+    REQUIRE(world.waitUntil([&] { return held.size() == 2; }));
+    held[1]->send(makeHttpReply(200, "scanned"));
+    REQUIRE(world.waitUntil([&] { return takeHttpMessage(scan.received).has_value(); }));
     // The new rule of "read": one that may have run fails. The open one has the old rule: it goes out again.
-    Wire& after = world.connect();
+    TestConnection& after = world.connect();
     after.send(with("0000000000000004", "read"));
-    REQUIRE(world.until([&] { return held.size() == 3; }));
+    REQUIRE(world.waitUntil([&] { return held.size() == 3; }));
     held[2]->close();
-    std::optional<HttpText> answer;
-    REQUIRE(world.until([&] { return (answer = takeHttp(after.got)).has_value(); }));
-    CHECK(answer->code() == 502);
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(world.waitUntil([&] { return (answer = takeHttpMessage(after.received)).has_value(); }));
+    CHECK(answer->statusCode() == 502);
     held[0]->close();
-    REQUIRE(world.until([&] { return held.size() == 4; }));
-    held[3]->send(httpReply(200, "by the old rule"));
-    REQUIRE(world.until([&] { return (answer = takeHttp(before.got)).has_value(); }));
+    REQUIRE(world.waitUntil([&] { return held.size() == 4; }));
+    held[3]->send(makeHttpReply(200, "by the old rule"));
+    REQUIRE(world.waitUntil([&] { return (answer = takeHttpMessage(before.received)).has_value(); }));
     CHECK(answer->body == "by the old rule");
-    CHECK(world.end() == 0);
+    CHECK(world.stopAndWait() == 0);
 }
--- a/tests/program/share_test.cpp
+++ b/tests/program/share_test.cpp
@@ -9,7 +9,7 @@
 #include "nbd_node.h"
 
 using namespace martencove::test;
-using martencove::Owned;
+using martencove::LibeventPtr;
 using martencove::Timer;
 
 namespace {
@@ -42,40 +42,42 @@
 
 struct Both {
     Both()
-        : base(martencove::makeBase()),
+        : base(martencove::makeEventBase()),
           http(base.get()),
           nbd(base.get()),
           httpWorker(base.get()),
           nbdWorker(base.get()),
           httpNode(base.get(),
-                   [this](Wire& wire, const HttpText& request) {
+                   [this](TestConnection& wire, const ParsedHttpMessage& request) {
                        const double units = std::stod(request.header("IO-Info").substr(6));
-                       httpWorker.work(units, [&wire, request] { serve(wire, request); });
+                       httpWorker.work(units, [&wire, request] { replyWithRequestId(wire, request); });
                    }),
-          nbdNode(base.get(), [this](Wire& wire, const CommandMessage& c) {
+          nbdNode(base.get(), [this](TestConnection& wire, const CommandMessage& c) {
               nbdWorker.work(std::ceil(double(c.length) / kUnitBytes), [&wire, c] {
-                  chunk(wire, c, Chunk::data, encodeData(c.offset, std::string(c.length, 'x')), true);
+                  chunk(wire, c, ChunkType::data, encodeData(c.offset, std::string(c.length, 'x')), true);
               });
           }) {
-        http.config["known"]["hosts"].push_back(http.entry("s-1", httpNode.listener.address, 5, "ready"));
-        nbd.config["known"]["hosts"].push_back(nbd.entry("s-1", nbdNode.listener.address, 5, "ready"));
-        nbd.nbd = {{"listen", nbd.nbdListen.text()},
-                   {"unit_bytes", kUnitBytes},
-                   {"exports", Json::array()},
-                   {"nodes", {{"s-1", nbdNode.listener.address.text()}}}};
+        http.config["known"]["hosts"].push_back(
+            http.makeNodeEntry("s-1", httpNode.listener.address, 5, "ready"));
+        nbd.config["known"]["hosts"].push_back(
+            nbd.makeNodeEntry("s-1", nbdNode.listener.address, 5, "ready"));
+        nbd.nbdSection = {{"listen", nbd.nbdListenAddress.toString()},
+                          {"unit_bytes", kUnitBytes},
+                          {"exports", Json::array()},
+                          {"nodes", {{"s-1", nbdNode.listener.address.toString()}}}};
         for (int v = 0; v < kVolumes; ++v)
-            nbd.nbd["exports"].push_back({{"name", kPlans[v]},
-                                          {"bytes", kSize},
-                                          {"volume", volumeName(v)},
-                                          {"plan", kPlans[v]},
-                                          {"shard", 5},
-                                          {"read_only", true},
-                                          {"read_class", "read"}});
+            nbd.nbdSection["exports"].push_back({{"name", kPlans[v]},
+                                                 {"bytes", kSize},
+                                                 {"volume", volumeName(v)},
+                                                 {"plan", kPlans[v]},
+                                                 {"shard", 5},
+                                                 {"read_only", true},
+                                                 {"read_class", "read"}});
         http.start();
         nbd.start();
     }
     bool until(const std::function<bool()>& holds, double mostMs = 20000) {
-        return http.until(
+        return http.waitUntil(
             [&] {
                 nbdNode.greet();
                 return holds();
@@ -84,7 +86,7 @@
     }
     /// A connection for each export, ready for commands.
     void open(int volume) {
-        Wire& wire = nbd.connect(nbd.nbdListen);
+        TestConnection& wire = nbd.connect(nbd.nbdListenAddress);
         wires[volume].push_back(&wire);
         wire.send(encodeClientFlags(kFixedNewstyle | kNoZeroes) +
                   encode(OptionMessage{Option::structuredReply, ""}) +
@@ -92,42 +94,42 @@
     }
     void ask(int volume, int units) {
         const std::string id = std::to_string(++asked);
-        std::string request = http.request(id);
+        std::string request = http.makeRequest(id);
         request.replace(request.find("00000003b4d60021"), 16, volumeName(volume));
         request.replace(request.find("Tier: basic"), 11, "Tier: " + std::string(kPlans[volume]));
         request.replace(request.find("units=2"), 7, "units=" + std::to_string(units));
-        Wire* free = nullptr;
-        for (Wire* wire : clients) {
-            if (takeHttp(wire->got)) ++answered, busy.erase(wire);
+        TestConnection* free = nullptr;
+        for (TestConnection* wire : clients) {
+            if (takeHttpMessage(wire->received)) ++answered, busy.erase(wire);
             if (!busy.contains(wire)) free = wire;
         }
         if (free == nullptr) free = clients.emplace_back(&http.connect());
         busy.insert(free);
         free->send(request);
         auto& to = wires[volume];
-        to[asked % to.size()]->got.clear();
+        to[asked % to.size()]->received.clear();
         to[asked % to.size()]->send(encode(CommandMessage{0, Command::read, std::uint64_t(asked), 0,
                                                           std::uint32_t(units * kUnitBytes), ""}));
     }
-    std::vector<long long> served(World& world) {
+    std::vector<long long> served(ProgramHarness& world) {
         std::vector<long long> out;
         for (int v = 0; v < kVolumes; ++v)
-            out.push_back(world.counter("units_served_plan_" + std::to_string(v)));
+            out.push_back(world.readCounter("units_served_plan_" + std::to_string(v)));
         return out;
     }
-    long long answers(World& world) {
-        return world.counter("answer_served") + world.counter("answer_refused") +
-               world.counter("answer_failed");
+    long long answers(ProgramHarness& world) {
+        return world.readCounter("answer_served") + world.readCounter("answer_refused") +
+               world.readCounter("answer_failed");
     }
 
-    Owned<event_base> base;
-    World http, nbd;
+    LibeventPtr<event_base> base;
+    ProgramHarness http, nbd;
     Worker httpWorker, nbdWorker;
-    HttpNode httpNode;
+    StubHttpNode httpNode;
     NbdNode nbdNode;
-    std::vector<Wire*> wires[kVolumes];
-    std::vector<Wire*> clients;
-    std::set<Wire*> busy;
+    std::vector<TestConnection*> wires[kVolumes];
+    std::vector<TestConnection*> clients;
+    std::set<TestConnection*> busy;
     int asked = 0, answered = 0;
 };
 
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -18,55 +18,59 @@
 // Far beyond any moment of a schedule that counts 3 s of a deadline at most, far before a deadline's own end.
 constexpr double kLongBeforeDeadlineMs = 10'000;
 
-const auto silent = [](Wire&, const HttpText&) {};
+const auto silent = [](TestConnection&, const ParsedHttpMessage&) {};
 
 /// A program whose shard 5 is held by one server, which says nothing unless told otherwise.
 struct Site {
     explicit Site(
-        HttpNode::Answer answer = silent, const std::function<void(World&)>& set = [](World&) {})
+        StubHttpNode::Handler answer = silent,
+        const std::function<void(ProgramHarness&)>& set = [](ProgramHarness&) {})
         : node(world.base.get(), std::move(answer)) {
         set(world);
-        world.config["known"]["hosts"] = Json::array({world.entry("s-1", node.listener.address, 5, "ready")});
+        world.config["known"]["hosts"] =
+            Json::array({world.makeNodeEntry("s-1", node.listener.address, 5, "ready")});
         world.start();
     }
     /// A client that has sent a request, which the server holds.
-    Wire& heldClient(const std::string& id, int deadlineMs = 5000) {
-        Wire& client = world.connect();
+    TestConnection& heldClient(const std::string& id, int deadlineMs = 5000) {
+        TestConnection& client = world.connect();
         const std::size_t before = node.requests.size();
-        client.send(world.request(id, "", deadlineMs));
-        REQUIRE(world.until([&] { return node.requests.size() == before + 1; }));
+        client.send(world.makeRequest(id, "", deadlineMs));
+        REQUIRE(world.waitUntil([&] { return node.requests.size() == before + 1; }));
         return client;
     }
     /// A client of whose request the last `rest` has not been sent.
-    Wire& halfClient(const std::string& text, std::size_t sent) {
-        Wire& client = world.connect();
+    TestConnection& halfClient(const std::string& text, std::size_t sent) {
+        TestConnection& client = world.connect();
         client.send(text.substr(0, sent));
-        REQUIRE(world.until([&] { return client.connected; }));
-        world.rest();
+        REQUIRE(world.waitUntil([&] { return client.connected; }));
+        world.waitForNodeReuse();
         return client;
     }
     void terminate() {
-        world.signal(SIGTERM);
+        world.sendSignal(SIGTERM);
         REQUIRE(logged("end: finishing"));
     }
     bool logged(const std::string& text, double mostMs = 20'000) {
-        return world.until([&] { return world.log.find(text) != std::string::npos; }, mostMs);
+        return world.waitUntil([&] { return world.log.find(text) != std::string::npos; }, mostMs);
     }
     /// The next answer on a connection; nothing where that ends without one.
-    std::optional<HttpText> answer(Wire& client, double mostMs = 20'000) {
-        std::optional<HttpText> out;
-        (void)world.until([&] { return (out = takeHttp(client.got)).has_value() || client.closed; }, mostMs);
+    std::optional<ParsedHttpMessage> answer(TestConnection& client, double mostMs = 20'000) {
+        std::optional<ParsedHttpMessage> out;
+        (void)world.waitUntil(
+            [&] { return (out = takeHttpMessage(client.received)).has_value() || client.closedByPeer; },
+            mostMs);
         return out;
     }
 
-    World world;
-    HttpNode node;
+    ProgramHarness world;
+    StubHttpNode node;
 };
 
-void longDeadlines(World& world) {
+void longDeadlines(ProgramHarness& world) {
     for (Json& one : world.config["settings"]["Classes"]) one["DeadlineMs"] = kLongDeadlineMs;
 }
-void deadlinesOf(World& world, int ms) {
+void deadlinesOf(ProgramHarness& world, int ms) {
     for (Json& one : world.config["settings"]["Classes"]) one["DeadlineMs"] = ms;
 }
 
@@ -76,7 +80,7 @@
 TEST_CASE(
     "shutdown: a request whose server hangs has its answer long before its deadline, and 0 is returned") {
     Site t(silent, longDeadlines);
-    Wire* client = nullptr;
+    TestConnection* client = nullptr;
     SUBCASE("taken before SIGTERM") {
         client = &t.heldClient("0000000000000001", kLongDeadlineMs);
         t.terminate();
@@ -86,103 +90,104 @@
         client = &t.heldClient("0000000000000001", kLongDeadlineMs);
     }
     SUBCASE("taken before it, and discovery is silent") {
-        t.world.answerLists(false);
-        t.world.fallSilent();
+        t.world.setDiscoveryAnswers(false);
+        t.world.dropPendingDiscoveryCalls();
         client = &t.heldClient("0000000000000001", kLongDeadlineMs);
         t.terminate();
     }
     const auto answer = t.answer(*client, kLongBeforeDeadlineMs);
     REQUIRE(answer);
-    CHECK(answer->code() == 503);  // a read, harmless to repeat
-    CHECK(t.world.end() == 0);
+    CHECK(answer->statusCode() == 503);  // a read, harmless to repeat
+    CHECK(t.world.stopAndWait() == 0);
     CHECK(t.world.log.find("end: exits open=0") != std::string::npos);
 }
 
 // Guards against a connection that comes up late and takes a request along when its answer is due.
 TEST_CASE(
     "shutdown: a request whose connection never comes up has its answer, and nothing is sent after it") {
-    World world;
-    Jam jam;
+    ProgramHarness world;
+    FullBacklogServer jam;
     longDeadlines(world);
     world.config["settings"]["Limits"]["DialTimeoutMs"] = 60'000;
-    world.config["known"]["hosts"] = Json::array({world.entry("s-1", jam.address, 5, "ready")});
+    world.config["known"]["hosts"] = Json::array({world.makeNodeEntry("s-1", jam.address, 5, "ready")});
     world.start();
-    Wire& client = world.connect();
-    client.send(world.request("0000000000000001", "", kLongDeadlineMs));
-    REQUIRE(world.until([&] { return world.counter("attempt_sent") == 1; }));
-    world.signal(SIGTERM);
-    std::optional<HttpText> answer;
-    (void)world.until([&] { return (answer = takeHttp(client.got)).has_value() || client.closed; },
-                      kLongBeforeDeadlineMs);
+    TestConnection& client = world.connect();
+    client.send(world.makeRequest("0000000000000001", "", kLongDeadlineMs));
+    REQUIRE(world.waitUntil([&] { return world.readCounter("attempt_sent") == 1; }));
+    world.sendSignal(SIGTERM);
+    std::optional<ParsedHttpMessage> answer;
+    (void)world.waitUntil(
+        [&] { return (answer = takeHttpMessage(client.received)).has_value() || client.closedByPeer; },
+        kLongBeforeDeadlineMs);
     REQUIRE(answer);
-    CHECK(answer->code() == 503);
-    CHECK(jam.text().empty());
-    CHECK(world.end() == 0);
+    CHECK(answer->statusCode() == 503);
+    CHECK(jam.acceptAndRead().empty());
+    CHECK(world.stopAndWait() == 0);
 }
 
 // Guards against a request that is read so late that its server cannot answer any more: the process stands
 // still while the last byte and the last moment for a first attempt pass.
 TEST_CASE("shutdown: a request that is read too late is refused and not sent on") {
-    Site t(silent, [](World& world) { deadlinesOf(world, 1000); });
-    Wire& held = t.heldClient("0000000000000001", 1000);
-    const std::string text = t.world.request("0000000000000002", "", 1000);
-    Wire& late = t.halfClient(text, 20);
+    Site t(silent, [](ProgramHarness& world) { deadlinesOf(world, 1000); });
+    TestConnection& held = t.heldClient("0000000000000001", 1000);
+    const std::string text = t.world.makeRequest("0000000000000002", "", 1000);
+    TestConnection& late = t.halfClient(text, 20);
     t.terminate();
-    t.world.signal(SIGSTOP);
+    t.world.sendSignal(SIGSTOP);
     late.send(text.substr(20));
-    (void)t.world.until([] { return false; }, 1200);  // first attempts may begin for 0.97 s
-    t.world.signal(SIGCONT);
+    (void)t.world.waitUntil([] { return false; }, 1200);  // first attempts may begin for 0.97 s
+    t.world.sendSignal(SIGCONT);
     const auto answer = t.answer(late);
     REQUIRE(answer);
-    CHECK(answer->code() == 503);
+    CHECK(answer->statusCode() == 503);
     CHECK(answer->header("Connection") == "close");
     REQUIRE(t.answer(held));
     CHECK(t.node.requests.size() == 1);
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against an exit over what came while the process stood still for longer than the schedule allows
 // for.
 TEST_CASE(
     "shutdown: a process that stands still beyond its last moment answers what has come before it exits") {
-    Site t(silent, [](World& world) { deadlinesOf(world, 1000); });
-    Wire& held = t.heldClient("0000000000000001", 1000);
-    const std::string text = t.world.request("0000000000000002", "", 1000);
-    Wire& late = t.halfClient(text, 20);
+    Site t(silent, [](ProgramHarness& world) { deadlinesOf(world, 1000); });
+    TestConnection& held = t.heldClient("0000000000000001", 1000);
+    const std::string text = t.world.makeRequest("0000000000000002", "", 1000);
+    TestConnection& late = t.halfClient(text, 20);
     t.terminate();
-    t.world.signal(SIGSTOP);
+    t.world.sendSignal(SIGSTOP);
     late.send(text.substr(20));
-    (void)t.world.until([] { return false; }, 1700);
-    t.world.signal(SIGCONT);
+    (void)t.world.waitUntil([] { return false; }, 1700);
+    t.world.sendSignal(SIGCONT);
     const auto answer = t.answer(late);
     REQUIRE(answer);
-    CHECK(answer->code() == 503);
+    CHECK(answer->statusCode() == 503);
     REQUIRE(t.answer(held));
     CHECK(t.node.requests.size() == 1);
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against an end of the connection behind an answer, while what its client sent next has been read.
 TEST_CASE("shutdown: requests that were sent behind one another are all answered") {
     Site t(silent, longDeadlines);
-    Wire& client = t.heldClient("0000000000000001", kLongDeadlineMs);
-    client.send(t.world.request("0000000000000002", "", kLongDeadlineMs) +
-                t.world.request("0000000000000003", "", kLongDeadlineMs));
-    t.world.rest();
+    TestConnection& client = t.heldClient("0000000000000001", kLongDeadlineMs);
+    client.send(t.world.makeRequest("0000000000000002", "", kLongDeadlineMs) +
+                t.world.makeRequest("0000000000000003", "", kLongDeadlineMs));
+    t.world.waitForNodeReuse();
     t.terminate();
     for (int i = 0; i < 3; ++i) {
         const auto answer = t.answer(client, kLongBeforeDeadlineMs);
         REQUIRE(answer);
-        CHECK(answer->code() == 503);
+        CHECK(answer->statusCode() == 503);
     }
     CHECK(t.node.requests.size() == 1);
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("shutdown: half a request is refused, and does not hold the exit up") {
     Site t(silent, longDeadlines);
-    const std::string text = t.world.request("0000000000000001", "", kLongDeadlineMs, "the body");
-    Wire* client = nullptr;
+    const std::string text = t.world.makeRequest("0000000000000001", "", kLongDeadlineMs, "the body");
+    TestConnection* client = nullptr;
     bool trickles = false;
     SUBCASE("half of its head, on a new connection") { client = &t.halfClient(text, 20); }
     SUBCASE("its head, on a new connection") { client = &t.halfClient(text, text.find("the body")); }
@@ -200,19 +205,19 @@
         trickles = true;
     }
     t.terminate();
-    std::optional<HttpText> answer;
+    std::optional<ParsedHttpMessage> answer;
     std::size_t sent = 20;
-    REQUIRE(t.world.until(
+    REQUIRE(t.world.waitUntil(
         [&] {
-            if (trickles && !client->closed && sent < 60) client->send(text.substr(sent++, 1));
-            return (answer = takeHttp(client->got)).has_value() || client->closed;
+            if (trickles && !client->closedByPeer && sent < 60) client->send(text.substr(sent++, 1));
+            return (answer = takeHttpMessage(client->received)).has_value() || client->closedByPeer;
         },
         kLongBeforeDeadlineMs));
     REQUIRE(answer);
-    CHECK(answer->code() == 503);
+    CHECK(answer->statusCode() == 503);
     CHECK(answer->header("Connection") == "close");
     REQUIRE(t.logged("end: exits", kLongBeforeDeadlineMs));
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
     CHECK(t.node.requests.empty());
 }
 
@@ -220,143 +225,151 @@
 // that is on its way goes with it.
 TEST_CASE("shutdown: an answer arrives whole, though its client sends more behind its request") {
     const std::string body(48'000, 'y');
-    Wire* held = nullptr;
-    Site t([&](Wire& wire, const HttpText&) { held = &wire; });
+    TestConnection* held = nullptr;
+    Site t([&](TestConnection& wire, const ParsedHttpMessage&) { held = &wire; });
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
     const int small = 4096;  // most of the answer has to wait at the program's side
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-    const sockaddr_in to = t.world.listen.socketAddress();
+    const sockaddr_in to = t.world.listenAddress.socketAddress();
     REQUIRE(connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0);
-    const std::string text = t.world.request("0000000000000001");
+    const std::string text = t.world.makeRequest("0000000000000001");
     REQUIRE(::send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
-    REQUIRE(t.world.until([&] { return held != nullptr; }));
+    REQUIRE(t.world.waitUntil([&] { return held != nullptr; }));
     t.terminate();
-    held->send(httpReply(200, body));
-    REQUIRE(t.world.until([&] { return t.world.counter("answer_served") == 1; }));
-    t.world.rest();
+    held->send(makeHttpReply(200, body));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_served") == 1; }));
+    t.world.waitForNodeReuse();
     // Pieces, so that some come before the close and some behind it.
     for (int i = 0; i < 10; ++i) {
         (void)!::send(fd, text.data(), 20, MSG_NOSIGNAL);
-        t.world.rest();
+        t.world.waitForNodeReuse();
     }
     std::string got;
     char some[4096];
     for (ssize_t more = 0; (more = recv(fd, some, sizeof some, 0)) > 0;)
         got.append(some, static_cast<std::size_t>(more));
     close(fd);
-    const auto answer = takeHttp(got);
+    const auto answer = takeHttpMessage(got);
     REQUIRE(answer);
     CHECK(answer->body == body);
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against a listener that is closed over connections that nobody has accepted, as none may come while
 // requests in work hold all descriptors.
 TEST_CASE("shutdown: connections that wait to be accepted are taken and answered once there is room") {
     constexpr int kClients = 40;  // more than the program has descriptors for
-    std::vector<Wire*> held;
+    std::vector<TestConnection*> held;
     bool holds = true;
-    Site t([&](Wire& wire, const HttpText& request) { holds ? held.push_back(&wire) : serve(wire, request); },
-           [](World& world) {
-               longDeadlines(world);
-               world.config["limits"]["sockets"] = 64;
-           });
-    t.world.signal(SIGSTOP);
-    std::vector<Wire*> clients;
+    Site t(
+        [&](TestConnection& wire, const ParsedHttpMessage& request) {
+            holds ? held.push_back(&wire) : replyWithRequestId(wire, request);
+        },
+        [](ProgramHarness& world) {
+            longDeadlines(world);
+            world.config["limits"]["sockets"] = 64;
+        });
+    t.world.sendSignal(SIGSTOP);
+    std::vector<TestConnection*> clients;
     for (int i = 0; i < kClients; ++i) {
         clients.push_back(&t.world.connect());
-        clients.back()->send(t.world.request("00000000000000" + std::to_string(10 + i), "", kLongDeadlineMs));
+        clients.back()->send(
+            t.world.makeRequest("00000000000000" + std::to_string(10 + i), "", kLongDeadlineMs));
     }
-    REQUIRE(t.world.until([&] {
+    REQUIRE(t.world.waitUntil([&] {
         return std::all_of(clients.begin(), clients.end(),
-                           [](const Wire* client) { return client->connected; });
+                           [](const TestConnection* client) { return client->connected; });
     }));
-    t.world.signal(SIGTERM);
-    t.world.signal(SIGCONT);
-    REQUIRE(t.world.until([&] { return !held.empty(); }));
-    (void)t.world.until([] { return false; }, 600);  // the listener's time is over
+    t.world.sendSignal(SIGTERM);
+    t.world.sendSignal(SIGCONT);
+    REQUIRE(t.world.waitUntil([&] { return !held.empty(); }));
+    (void)t.world.waitUntil([] { return false; }, 600);  // the listener's time is over
     holds = false;
-    for (Wire* wire : held) wire->send(httpReply(200, "late"));
-    for (Wire* client : clients) {
+    for (TestConnection* wire : held) wire->send(makeHttpReply(200, "late"));
+    for (TestConnection* client : clients) {
         const auto answer = t.answer(*client, kLongBeforeDeadlineMs);
         REQUIRE(answer);
-        CHECK((answer->code() == 200 || answer->code() == 503));
+        CHECK((answer->statusCode() == 200 || answer->statusCode() == 503));
     }
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("shutdown: a process that stands still while its listener should close loses no connection") {
-    Site t(serve);
+    Site t(replyWithRequestId);
     t.terminate();
-    t.world.signal(SIGSTOP);
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001"));
-    REQUIRE(t.world.until([&] { return client.connected; }));
-    (void)t.world.until([] { return false; }, 700);
-    t.world.signal(SIGCONT);
+    t.world.sendSignal(SIGSTOP);
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001"));
+    REQUIRE(t.world.waitUntil([&] { return client.connected; }));
+    (void)t.world.waitUntil([] { return false; }, 700);
+    t.world.sendSignal(SIGCONT);
     const auto answer = t.answer(client);
     REQUIRE(answer);
-    CHECK(answer->code() == 200);
-    CHECK(t.world.end() == 0);
+    CHECK(answer->statusCode() == 200);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("shutdown: SIGTERM before the first list: clients that wait are served") {
-    World world;
-    HttpNode node(world.base.get(), serve);
-    world.config["known"]["hosts"] = Json::array({world.entry("s-1", node.listener.address, 5, "ready")});
+    ProgramHarness world;
+    StubHttpNode node(world.base.get(), replyWithRequestId);
+    world.config["known"]["hosts"] =
+        Json::array({world.makeNodeEntry("s-1", node.listener.address, 5, "ready")});
     world.config["settings"]["Rules"]["DrainGraceMs"] = 60'000;  // it waits for a list for 0.4 s
-    world.answerLists(false);
+    world.setDiscoveryAnswers(false);
     world.startAndTerminate();
-    Wire& client = world.connect();
-    client.send(world.request("0000000000000001"));
-    std::optional<HttpText> answer;
-    (void)world.until([&] { return (answer = takeHttp(client.got)).has_value() || client.closed; });
+    TestConnection& client = world.connect();
+    client.send(world.makeRequest("0000000000000001"));
+    std::optional<ParsedHttpMessage> answer;
+    (void)world.waitUntil(
+        [&] { return (answer = takeHttpMessage(client.received)).has_value() || client.closedByPeer; });
     REQUIRE(answer);
-    CHECK(answer->code() == 200);
-    CHECK(world.end() == 0);
+    CHECK(answer->statusCode() == 200);
+    CHECK(world.stopAndWait() == 0);
 }
 
 TEST_CASE("shutdown: clients that rest or say nothing hold the exit up no longer than the listener is open") {
     Site t(silent, longDeadlines);
-    Wire& rests = t.world.connect();
+    TestConnection& rests = t.world.connect();
     rests.send("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
     REQUIRE(t.answer(rests));
-    Wire& says = t.world.connect();
-    REQUIRE(t.world.until([&] { return says.connected; }));
+    TestConnection& says = t.world.connect();
+    REQUIRE(t.world.waitUntil([&] { return says.connected; }));
     t.terminate();
     REQUIRE(t.logged("end: exits", kLongBeforeDeadlineMs));
-    CHECK(t.world.end() == 0);
-    CHECK(t.world.until([&] { return rests.closed && says.closed; }));
-    CHECK(rests.got.empty());
-    CHECK(says.got.empty());
+    CHECK(t.world.stopAndWait() == 0);
+    CHECK(t.world.waitUntil([&] { return rests.closedByPeer && says.closedByPeer; }));
+    CHECK(rests.received.empty());
+    CHECK(says.received.empty());
 }
 
 TEST_CASE("shutdown: a long answer that stands still is cut short of its length, and the program ends") {
     const std::string part(200'000, 'y');
-    Site t([&](Wire& wire,
-               const HttpText&) { wire.send("HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + part); },
-           longDeadlines);
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001", "", kLongDeadlineMs));
-    REQUIRE(t.world.until([&] { return client.got.size() >= part.size(); }));
+    Site t(
+        [&](TestConnection& wire, const ParsedHttpMessage&) {
+            wire.send("HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + part);
+        },
+        longDeadlines);
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001", "", kLongDeadlineMs));
+    REQUIRE(t.world.waitUntil([&] { return client.received.size() >= part.size(); }));
     t.terminate();
     // Its answer may stand still for 10 s without a shutdown.
     REQUIRE(t.logged("end: exits", 8000));
-    REQUIRE(t.world.until([&] { return client.closed; }));
-    CHECK(client.got.size() < 400'000);
-    CHECK(t.world.end() == 0);
+    REQUIRE(t.world.waitUntil([&] { return client.closedByPeer; }));
+    CHECK(client.received.size() < 400'000);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 TEST_CASE("shutdown: a second signal changes nothing") {
     Site t(silent, longDeadlines);
-    Wire& client = t.heldClient("0000000000000001", kLongDeadlineMs);
+    TestConnection& client = t.heldClient("0000000000000001", kLongDeadlineMs);
     t.terminate();
-    SUBCASE("SIGTERM") { t.world.signal(SIGTERM); }
-    SUBCASE("SIGINT") { t.world.signal(SIGINT); }
+    SUBCASE("SIGTERM") { t.world.sendSignal(SIGTERM); }
+    SUBCASE("SIGINT") { t.world.sendSignal(SIGINT); }
     const auto answer = t.answer(client, kLongBeforeDeadlineMs);
     REQUIRE(answer);
-    CHECK(answer->code() == 503);
-    CHECK(t.world.end() == 0);
+    CHECK(answer->statusCode() == 503);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against a shutdown that still counts by deadlines that are no more, and one that grows under way.
@@ -370,71 +383,71 @@
         std::swap(before, after);
         during = true;
     }
-    Site t(silent, [&](World& world) { deadlinesOf(world, before); });
+    Site t(silent, [&](ProgramHarness& world) { deadlinesOf(world, before); });
     if (during) t.terminate();
     deadlinesOf(t.world, after);
-    t.world.rewrite();
-    t.world.signal(SIGHUP);
+    t.world.rewriteConfig();
+    t.world.sendSignal(SIGHUP);
     REQUIRE(t.logged("configuration: read"));
     if (!during) t.terminate();
     // 300 ms and 0.7 s, less what may pass until the signal is seen.
     CHECK(t.logged("sigkill_after_ms=830", 1000));
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against the default action, which ends a process that has not got to its signals yet with 143.
 TEST_CASE("shutdown: SIGTERM while the configuration is read ends the program with 0") {
-    World world;
-    CHECK(world.terminateWhileConfigured() == 0);
+    ProgramHarness world;
+    CHECK(world.terminateDuringConfigRead() == 0);
 }
 
 TEST_CASE("shutdown: evacuated, requests that were sent behind one another are all answered") {
-    FreeAddress ops;
-    Site t(serve, [&](World& world) { world.config["ops"] = ops.text(); });
-    Wire& caller = t.world.connect(ops);
+    ReservedAddress ops;
+    Site t(replyWithRequestId, [&](ProgramHarness& world) { world.config["ops"] = ops.toString(); });
+    TestConnection& caller = t.world.connect(ops);
     caller.send("PUT /api/evacuate HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n");
     REQUIRE(t.answer(caller));
-    Wire& client = t.world.connect();
-    client.send(t.world.request("0000000000000001") + t.world.request("0000000000000002"));
+    TestConnection& client = t.world.connect();
+    client.send(t.world.makeRequest("0000000000000001") + t.world.makeRequest("0000000000000002"));
     for (int i = 0; i < 2; ++i) {
         const auto answer = t.answer(client);
         REQUIRE(answer);
-        CHECK(answer->code() == 200);
+        CHECK(answer->statusCode() == 200);
     }
-    CHECK(t.world.until([&] { return client.closed; }));
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.waitUntil([&] { return client.closedByPeer; }));
+    CHECK(t.world.stopAndWait() == 0);
 }
 
 // Guards against an exit that a client holds up which never stops sending, one request behind the other.
 TEST_CASE("shutdown: a flood of requests on one connection is ended, and holds up no other client's answer") {
-    Site t(serve, longDeadlines);
-    const std::string one = t.world.request("0000000000000001", "", kLongDeadlineMs);
+    Site t(replyWithRequestId, longDeadlines);
+    const std::string one = t.world.makeRequest("0000000000000001", "", kLongDeadlineMs);
     std::string many;
     while (many.size() < 60'000) many += one;
-    Wire& flood = t.world.connect();
+    TestConnection& flood = t.world.connect();
     bool reads = true;
     SUBCASE("that is read") {}
     SUBCASE("whose answers are not read") { reads = false; }
-    flood.read(reads);
+    flood.setReading(reads);
     flood.send(many);
-    REQUIRE(t.world.until([&] { return t.world.counter("request_taken") > 0; }));
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("request_taken") > 0; }));
     t.terminate();
-    Wire& other = t.world.connect();
-    other.send(t.world.request("0000000000000002", "", kLongDeadlineMs));
-    std::optional<HttpText> answer;
-    REQUIRE(t.world.until(
+    TestConnection& other = t.world.connect();
+    other.send(t.world.makeRequest("0000000000000002", "", kLongDeadlineMs));
+    std::optional<ParsedHttpMessage> answer;
+    REQUIRE(t.world.waitUntil(
         [&] {
-            if (!flood.closed) flood.send(one);
-            return (answer = takeHttp(other.got)).has_value() || other.closed;
+            if (!flood.closedByPeer) flood.send(one);
+            return (answer = takeHttpMessage(other.received)).has_value() || other.closedByPeer;
         },
         kLongBeforeDeadlineMs));
     REQUIRE(answer);
-    CHECK(answer->code() == 200);
-    REQUIRE(t.world.until(
+    CHECK(answer->statusCode() == 200);
+    REQUIRE(t.world.waitUntil(
         [&] {
-            if (!flood.closed) flood.send(one);
+            if (!flood.closedByPeer) flood.send(one);
             return t.world.log.find("end: exits") != std::string::npos;
         },
         kLongBeforeDeadlineMs));
-    CHECK(t.world.end() == 0);
+    CHECK(t.world.stopAndWait() == 0);
 }
