--- a/tests/program/spoilt_test.cpp
+++ b/tests/program/spoilt_test.cpp
@@ -13,26 +13,27 @@
     explicit Spoiling(std::string first, int connections = 1)
         : bytes(std::move(first)),
           left(connections),
-          node(world.base.get(), [this](Wire& w, const HttpText& r) {
+          node(world.base.get(), [this](TestConnection& w, const ParsedHttpMessage& r) {
               if (left > 0 && seen.insert(&w).second) {
                   --left;
                   return w.send(bytes);
               }
-              serve(w, r);
+              replyWithRequestId(w, r);
           }) {
-        world.config["known"]["hosts"].push_back(world.entry("s-1", node.listener.address, 5, "ready"));
+        world.config["known"]["hosts"].push_back(
+            world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
         world.start();
     }
-    [[nodiscard]] std::size_t connections() const { return node.listener.wires.size(); }
+    [[nodiscard]] std::size_t connections() const { return node.listener.connections.size(); }
 
     std::string bytes;
     int left;
-    std::set<Wire*> seen;
-    World world;
-    HttpNode node;
+    std::set<TestConnection*> seen;
+    ProgramHarness world;
+    StubHttpNode node;
 };
 
-const std::string kGood = httpReply(200, "the answer");
+const std::string kGood = makeHttpReply(200, "the answer");
 
 }  // namespace
 
@@ -64,10 +65,11 @@
          }) {
         CAPTURE(bytes.substr(0, 80));
         Spoiling t(bytes);
-        CHECK(t.world.ask(t.world.request("0000000000000001")).body == "made for 0000000000000001:");
+        CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).body ==
+              "made for 0000000000000001:");
         CHECK(t.connections() == 2);
-        CHECK(t.world.counter("attempt_spoilt") == 1);
-        CHECK(t.world.counter("attempt_served") == 1);
+        CHECK(t.world.readCounter("attempt_spoilt") == 1);
+        CHECK(t.world.readCounter("attempt_served") == 1);
     }
 }
 
@@ -76,21 +78,22 @@
     for (const std::string& bytes :
          std::vector<std::string>{kGood + kGood, kGood + "noise", kGood + "\r\n"}) {
         Spoiling t(bytes);
-        CHECK(t.world.ask(t.world.request("0000000000000001")).body == "the answer");
-        t.world.rest();
-        CHECK(t.world.ask(t.world.request("0000000000000002")).body == "made for 0000000000000002:");
+        CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).body == "the answer");
+        t.world.waitForNodeReuse();
+        CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000002")).body ==
+              "made for 0000000000000002:");
         CHECK(t.connections() == 2);
-        CHECK(t.world.counter("attempt_served") == 2);
+        CHECK(t.world.readCounter("attempt_served") == 2);
     }
 }
 
 // The same where they come a moment later, while the connection rests.
 TEST_CASE("bytes on a resting connection end it") {
     Spoiling t(kGood);
-    CHECK(t.world.ask(t.world.request("0000000000000001")).body == "the answer");
-    t.node.listener.wires.front().send(kGood);
-    REQUIRE(t.world.until([&] { return t.node.listener.wires.front().closed; }));
-    CHECK(t.world.ask(t.world.request("0000000000000002")).body == "made for 0000000000000002:");
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).body == "the answer");
+    t.node.listener.connections.front().send(kGood);
+    REQUIRE(t.world.waitUntil([&] { return t.node.listener.connections.front().closedByPeer; }));
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000002")).body == "made for 0000000000000002:");
     CHECK(t.connections() == 2);
 }
 
@@ -102,14 +105,14 @@
     for (const std::string& bytes : std::vector<std::string>{
              "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + kGood,
              "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + kGood,
-             httpReply(200, "the answer", "Srv-Load: {\"inflight\":\x01\xff nonsense\r\n"),
+             makeHttpReply(200, "the answer", "Srv-Load: {\"inflight\":\x01\xff nonsense\r\n"),
              chunked,
          }) {
         CAPTURE(bytes.substr(0, 80));
         Spoiling t(bytes);
-        CHECK(t.world.ask(t.world.request("0000000000000001")).body == "the answer");
-        t.world.rest();
-        CHECK(t.world.ask(t.world.request("0000000000000002")).code() == 200);
+        CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).body == "the answer");
+        t.world.waitForNodeReuse();
+        CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000002")).statusCode() == 200);
         CHECK(t.connections() == 1);
     }
 }
@@ -119,22 +122,24 @@
 // up, and what has left is not held.
 TEST_CASE("an answer longer than a request may be is served; one that is held has its part of the memory") {
     const std::string longest(500'000, 'y');
-    Spoiling t(httpReply(200, longest));
-    CHECK(t.world.ask(t.world.request("0000000000000001")).body == longest);
-    CHECK(t.world.counter("attempt_spoilt") == 0);
-    REQUIRE(t.world.until([&] { return t.world.counter("answer_bytes") == 0; }));
-    Spoiling tooMuch(httpReply(200, std::string(7'000'000, 'y')));  // of 192 MB: 6 MB
-    std::string older = tooMuch.world.request("0000000000000001");
+    Spoiling t(makeHttpReply(200, longest));
+    CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).body == longest);
+    CHECK(t.world.readCounter("attempt_spoilt") == 0);
+    REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_bytes") == 0; }));
+    Spoiling tooMuch(makeHttpReply(200, std::string(7'000'000, 'y')));  // of 192 MB: 6 MB
+    std::string older = tooMuch.world.makeRequest("0000000000000001");
     older.replace(older.find("HTTP/1.1"), 8, "HTTP/1.0");
-    CHECK(tooMuch.world.ask(older).code() == 200);  // by the second connection: the first one's was given up
+    CHECK(tooMuch.world.sendRequest(older).statusCode() ==
+          200);  // by the second connection: the first one's was given up
     CHECK(tooMuch.connections() == 2);
-    CHECK(tooMuch.world.counter("attempt_spoilt") == 1);
+    CHECK(tooMuch.world.readCounter("attempt_spoilt") == 1);
 }
 
 // Guards against a second run of what may have run already, where no repeat is dropped any more.
 TEST_CASE("an answer that never becomes whole ends with the request, in one failure or refusal") {
     Spoiling t("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nhalf", 9);
-    const HttpText answer = t.world.ask(t.world.request("0000000000000001", "", 400, "text"));
-    CHECK(answer.code() == 502);
-    CHECK(t.world.counter("answer_failed") == 1);
+    const ParsedHttpMessage answer =
+        t.world.sendRequest(t.world.makeRequest("0000000000000001", "", 400, "text"));
+    CHECK(answer.statusCode() == 502);
+    CHECK(t.world.readCounter("answer_failed") == 1);
 }
--- a/tests/program/world.cpp
+++ b/tests/program/world.cpp
@@ -95,124 +95,126 @@
 
 }  // namespace
 
-Wire::Wire(event_base* base, const Address& to)
+TestConnection::TestConnection(event_base* base, const Address& to)
     : socket_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)) {
     const sockaddr_in in = to.socketAddress();
     bufferevent_socket_connect(socket_.get(), reinterpret_cast<const sockaddr*>(&in), sizeof in);
-    watch();
+    installCallbacks();
 }
-Wire::Wire(event_base* base, evutil_socket_t fd)
+TestConnection::TestConnection(event_base* base, evutil_socket_t fd)
     : socket_(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE)) {
-    watch();
+    installCallbacks();
 }
-void Wire::read(bool on) {
+void TestConnection::setReading(bool on) {
     on ? bufferevent_enable(socket_.get(), EV_READ) : bufferevent_disable(socket_.get(), EV_READ);
 }
 
-void Wire::watch() {
+void TestConnection::installCallbacks() {
     bufferevent_setcb(
         socket_.get(),
         [](bufferevent* b, void* arg) {
-            auto* self = static_cast<Wire*>(arg);
+            auto* self = static_cast<TestConnection*>(arg);
             evbuffer* input = bufferevent_get_input(b);
             std::string more(evbuffer_get_length(input), '\0');
             evbuffer_remove(input, more.data(), more.size());
-            self->got += more;
+            self->received += more;
             if (self->onData) self->onData(*self);
         },
         nullptr,
         [](bufferevent*, short what, void* arg) {
-            auto* self = static_cast<Wire*>(arg);
-            ((what & BEV_EVENT_CONNECTED) == 0 ? self->closed : self->connected) = true;
+            auto* self = static_cast<TestConnection*>(arg);
+            ((what & BEV_EVENT_CONNECTED) == 0 ? self->closedByPeer : self->connected) = true;
         },
         this);
     bufferevent_enable(socket_.get(), EV_READ | EV_WRITE);
 }
-void Wire::sendLast(const std::string& bytes) {
+void TestConnection::sendAndShutdown(const std::string& bytes) {
     const evutil_socket_t fd = bufferevent_getfd(socket_.get());
     (void)!::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     shutdown(fd, SHUT_WR);
 }
-void Wire::sendAndReset(const std::string& bytes) {
+void TestConnection::sendAndReset(const std::string& bytes) {
     const evutil_socket_t fd = bufferevent_getfd(socket_.get());
     (void)!::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     const linger at0{1, 0};
     setsockopt(fd, SOL_SOCKET, SO_LINGER, &at0, sizeof at0);
     socket_.reset();
 }
-void Wire::send(const std::string& bytes) {
+void TestConnection::send(const std::string& bytes) {
     if (socket_) bufferevent_write(socket_.get(), bytes.data(), bytes.size());
 }
 
-Listener::Listener(event_base* base, std::function<void(Wire&)> onData)
+TestServer::TestServer(event_base* base, std::function<void(TestConnection&)> onData)
     : base_(base), onData_(std::move(onData)) {
     const sockaddr_in any = Address{"127.0.0.1", 0}.socketAddress();
-    listener_ = evconnlistener_new_bind(base, accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC,
+    listener_ = evconnlistener_new_bind(base, onAccept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC,
                                         -1, reinterpret_cast<const sockaddr*>(&any), sizeof any);
     address = addressOf(evconnlistener_get_fd(listener_));
 }
-Listener::~Listener() { evconnlistener_free(listener_); }
-void Listener::accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-    auto* self = static_cast<Listener*>(arg);
-    self->wires.emplace_back(self->base_, fd).onData = self->onData_;
+TestServer::~TestServer() { evconnlistener_free(listener_); }
+void TestServer::onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
+    auto* self = static_cast<TestServer*>(arg);
+    self->connections.emplace_back(self->base_, fd).onData = self->onData_;
 }
 
-Jam::Jam(bool full) : listener_(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
+FullBacklogServer::FullBacklogServer(bool full)
+    : listenerFd_(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
     const sockaddr_in in = Address{"127.0.0.1", 0}.socketAddress();
-    bind(listener_, reinterpret_cast<const sockaddr*>(&in), sizeof in);
-    address = addressOf(listener_);
-    listen(listener_, 0);
-    if (full) fill();
+    bind(listenerFd_, reinterpret_cast<const sockaddr*>(&in), sizeof in);
+    address = addressOf(listenerFd_);
+    listen(listenerFd_, 0);
+    if (full) fillBacklog();
 }
-Jam::~Jam() {
-    for (const int fd : fill_) close(fd);
-    for (const int fd : taken_) close(fd);
-    close(listener_);
+FullBacklogServer::~FullBacklogServer() {
+    for (const int fd : fillerFds_) close(fd);
+    for (const int fd : acceptedFds_) close(fd);
+    close(listenerFd_);
 }
-void Jam::fill() {
+void FullBacklogServer::fillBacklog() {
     const sockaddr_in in = address.socketAddress();
     for (int i = 0; i < 3; ++i) {
-        fill_.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-        (void)connect(fill_.back(), reinterpret_cast<const sockaddr*>(&in), sizeof in);
+        fillerFds_.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+        (void)connect(fillerFds_.back(), reinterpret_cast<const sockaddr*>(&in), sizeof in);
     }
 }
-const std::string& Jam::text() {
-    for (int fd = 0; (fd = accept4(listener_, nullptr, nullptr, SOCK_NONBLOCK)) >= 0;) taken_.push_back(fd);
-    return textOfTaken();
+const std::string& FullBacklogServer::acceptAndRead() {
+    for (int fd = 0; (fd = accept4(listenerFd_, nullptr, nullptr, SOCK_NONBLOCK)) >= 0;)
+        acceptedFds_.push_back(fd);
+    return readAccepted();
 }
-const std::string& Jam::textOfTaken() {
+const std::string& FullBacklogServer::readAccepted() {
     char some[4096];
-    for (const int fd : taken_) {
+    for (const int fd : acceptedFds_) {
         for (ssize_t got = 0; (got = recv(fd, some, sizeof some, 0)) > 0;) {
-            text_.append(some, static_cast<std::size_t>(got));
-            unanswered_.insert(fd);
+            received_.append(some, static_cast<std::size_t>(got));
+            unansweredFds_.insert(fd);
         }
     }
-    return text_;
+    return received_;
 }
-void Jam::answer(const std::string& bytes) {
-    for (const int fd : unanswered_) (void)!::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-    unanswered_.clear();
+void FullBacklogServer::replyToUnanswered(const std::string& bytes) {
+    for (const int fd : unansweredFds_) (void)!::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    unansweredFds_.clear();
 }
-void Jam::resetAll() {
+void FullBacklogServer::resetAccepted() {
     const linger at0{1, 0};
-    for (const int fd : taken_) {
+    for (const int fd : acceptedFds_) {
         setsockopt(fd, SOL_SOCKET, SO_LINGER, &at0, sizeof at0);
         close(fd);
     }
-    taken_.clear();
+    acceptedFds_.clear();
 }
 
-std::string HttpText::header(const std::string& name) const {
+std::string ParsedHttpMessage::header(const std::string& name) const {
     const std::size_t at = head.find("\r\n" + name + ": ");
     if (at == head.npos) return "";
     const std::size_t from = at + name.size() + 4;
     return head.substr(from, head.find("\r\n", from) - from);
 }
-std::optional<HttpText> takeHttp(std::string& text) {
+std::optional<ParsedHttpMessage> takeHttpMessage(std::string& text) {
     const std::size_t end = text.find("\r\n\r\n");
     if (end == text.npos) return std::nullopt;
-    HttpText out{text.substr(0, end + 2), ""};
+    ParsedHttpMessage out{text.substr(0, end + 2), ""};
     if (out.header("Transfer-Encoding") == "chunked") {
         for (std::size_t at = end + 4;;) {
             const std::size_t line = text.find("\r\n", at);
@@ -233,53 +235,56 @@
     text.erase(0, end + 4 + size);
     return out;
 }
-std::string httpReply(int code, const std::string& body, const std::string& headers) {
+std::string makeHttpReply(int code, const std::string& body, const std::string& headers) {
     return "HTTP/1.1 " + std::to_string(code) + " X\r\nContent-Length: " + std::to_string(body.size()) +
            "\r\n" + headers + "\r\n" + body;
 }
-HttpNode::HttpNode(event_base* base, Answer a)
-    : answer(std::move(a)), listener(base, [this](Wire& wire) {
-          while (const auto request = takeHttp(wire.got)) {
+StubHttpNode::StubHttpNode(event_base* base, Handler a)
+    : handler(std::move(a)), listener(base, [this](TestConnection& wire) {
+          while (const auto request = takeHttpMessage(wire.received)) {
               requests.push_back(*request);
-              answer(wire, *request);
+              handler(wire, *request);
           }
       }) {}
-void serve(Wire& wire, const HttpText& request) {
-    wire.send(httpReply(200, "made for " + request.header("Req-Id") + ":" + request.body));
+void replyWithRequestId(TestConnection& wire, const ParsedHttpMessage& request) {
+    wire.send(makeHttpReply(200, "made for " + request.header("Req-Id") + ":" + request.body));
 }
 
 // The program may bind it too, as both allow it and this one does not listen.
-FreeAddress::FreeAddress() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+ReservedAddress::ReservedAddress() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     const int on = 1;
     setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     const sockaddr_in any = Address{"127.0.0.1", 0}.socketAddress();
     bind(fd_, reinterpret_cast<const sockaddr*>(&any), sizeof any);
     Address::operator=(addressOf(fd_));
 }
-FreeAddress::~FreeAddress() { close(fd_); }
-FreeAddress& FreeAddress::operator=(const FreeAddress& other) {
+ReservedAddress::~ReservedAddress() { close(fd_); }
+ReservedAddress& ReservedAddress::operator=(const ReservedAddress& other) {
     Address::operator=(other);
     return *this;
 }
 
-World::World(event_base* shared)
-    : ownBase(shared == nullptr ? makeBase() : nullptr),
-      base{shared == nullptr ? ownBase.get() : shared},
-      discovery_(base.get(),
-                 [this](Wire& wire) {
-                     while (const auto call = takeHttp(wire.got)) {
-                         ++watches;
-                         watched = call->line();
-                         const auto figure = [&](const std::string& name) {
-                             const std::size_t at = watched.find(name + "=");
-                             return at == watched.npos ? 0 : std::stoi(watched.substr(at + name.size() + 1));
-                         };
-                         waiting_.push_back({&wire, watched.find('?') == watched.npos, figure("after"),
-                                             std::chrono::steady_clock::now() +
-                                                 std::chrono::milliseconds(figure("wait_ms"))});
-                     }
-                     answerWatches();
-                 }),
+ProgramHarness::ProgramHarness(event_base* shared)
+    : ownedBase(shared == nullptr ? makeEventBase() : nullptr),
+      base{shared == nullptr ? ownedBase.get() : shared},
+      discovery_(
+          base.get(),
+          [this](TestConnection& wire) {
+              while (const auto call = takeHttpMessage(wire.received)) {
+                  ++discoveryCallCount;
+                  lastDiscoveryCall = call->startLine();
+                  const auto figure = [&](const std::string& name) {
+                      const std::size_t at = lastDiscoveryCall.find(name + "=");
+                      return at == lastDiscoveryCall.npos
+                                 ? 0
+                                 : std::stoi(lastDiscoveryCall.substr(at + name.size() + 1));
+                  };
+                  pendingCalls_.push_back(
+                      {&wire, lastDiscoveryCall.find('?') == lastDiscoveryCall.npos, figure("after"),
+                       std::chrono::steady_clock::now() + std::chrono::milliseconds(figure("wait_ms"))});
+              }
+              answerDiscoveryCalls();
+          }),
       folder_(newFolder()) {
     const Json classes = Json::array({{{"Name", "read"},
                                        {"AimMs", 300},
@@ -298,12 +303,12 @@
                      {{"Name", "capped"}, {"Rate", 50}, {"Reserve", 15}, {"Cap", 20}, {"CapDepth", 4}},
                      {{"Name", "heavy"}, {"Rate", 50}, {"Reserve", 20}, {"Proportion", 3}}});
     config = {{"name", "n0"},
-              {"listen", listen.text()},
-              {"discovery", discovery_.address.text()},
+              {"listen", listenAddress.toString()},
+              {"discovery", discovery_.address.toString()},
               {"seed", "8c1f30d27a5be964"},
               {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
-              {"peer_listen", peerListen.text()},
-              {"peers", {peerListen.text()}},
+              {"peer_listen", peerListenAddress.toString()},
+              {"peers", {peerListenAddress.toString()}},
               {"known", {{"seq", 0}, {"whole", true}, {"hosts", Json::array()}}},
               {"settings",
                {{"Classes", classes},
@@ -323,7 +328,7 @@
                   {"ConnIdleMs", 15000}}}}}};
 }
 
-World::~World() {
+ProgramHarness::~ProgramHarness() {
     if (running()) {
         kill(pid_, SIGKILL);
         waitpid(pid_, nullptr, 0);
@@ -331,141 +336,147 @@
     std::filesystem::remove_all(folder_);
 }
 
-void World::start() { startUntil("HTTP/1.1 200"); }
-void World::startUnready() { startUntil("HTTP/1.1 "); }
+void ProgramHarness::start() { startUntilHealthReply("HTTP/1.1 200"); }
+void ProgramHarness::startUntilAnswering() { startUntilHealthReply("HTTP/1.1 "); }
 
-void World::startAndTerminate() {
+void ProgramHarness::startAndTerminate() {
     launch();
-    if (!until([this] { return log.find("start: listens") != std::string::npos || !running(); }))
+    if (!waitUntil([this] { return log.find("start: listens") != std::string::npos || !running(); }))
         throw std::runtime_error("the program does not start: " + contents(folder_ + "/log"));
-    signal(SIGTERM);
+    sendSignal(SIGTERM);
 }
 
-int World::terminateWhileConfigured() {
+int ProgramHarness::terminateDuringConfigRead() {
     const std::string path = folder_ + "/config.json";
     if (mkfifo(path.c_str(), 0600) != 0) throw std::runtime_error("no FIFO for the configuration");
-    pid_ = martencove::test::launch(folder_, config, {"martencove"}, shared);
+    pid_ = martencove::test::launch(folder_, config, {"martencove"}, tmpDir);
     std::ofstream pipe(path);  // opens once the program has opened it too
-    signal(SIGTERM);
+    sendSignal(SIGTERM);
     pipe << config;
     pipe.close();
-    (void)until([this] { return !running(); });
-    return WIFEXITED(exit_) ? WEXITSTATUS(exit_) : 128 + WTERMSIG(exit_);
+    (void)waitUntil([this] { return !running(); });
+    return WIFEXITED(waitStatus_) ? WEXITSTATUS(waitStatus_) : 128 + WTERMSIG(waitStatus_);
 }
 
-void World::launch() {
-    told_ = false;
+void ProgramHarness::launch() {
+    terminationRequested_ = false;
     if (config["known"].is_object() && config["known"]["hosts"].is_array())
         for (const Json& host : config["known"]["hosts"])
-            if (host.is_object() && host.contains("host")) hosts_.try_emplace(host["host"], host);
-    pid_ = spawn(folder_, config, {{"nbd", nbd}, {"etcd", etcd}, {"xds", xds}, {"nodes", nodes}}, arguments,
-                 shared);
+            if (host.is_object() && host.contains("host")) nodesByName_.try_emplace(host["host"], host);
+    pid_ = spawn(folder_, config,
+                 {{"nbd", nbdSection}, {"etcd", etcdSection}, {"xds", xdsSection}, {"nodes", nodesSection}},
+                 extraArguments, tmpDir);
 }
 
-void World::startUntil(const std::string& answer) {
+void ProgramHarness::startUntilHealthReply(const std::string& answer) {
     launch();
-    std::unique_ptr<Wire> health;
-    const bool up = until([&] {
+    std::unique_ptr<TestConnection> health;
+    const bool up = waitUntil([&] {
         if (whileStarting) whileStarting();
-        if (!health || health->closed || (!health->got.empty() && !health->got.starts_with(answer))) {
-            health = std::make_unique<Wire>(base.get(), listen);
+        if (!health || health->closedByPeer ||
+            (!health->received.empty() && !health->received.starts_with(answer))) {
+            health = std::make_unique<TestConnection>(base.get(), listenAddress);
             health->send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        return health->got.starts_with(answer) || !running();
+        return health->received.starts_with(answer) || !running();
     });
     if (!up || !running())
         throw std::runtime_error("the program does not start: " + contents(folder_ + "/log"));
 }
 
-void World::rewrite(const std::string& text) const { std::ofstream(folder_ + "/config.json") << text; }
+void ProgramHarness::rewriteConfig(const std::string& text) const {
+    std::ofstream(folder_ + "/config.json") << text;
+}
 
-bool World::until(const std::function<bool()>& holds, double mostMs) {
+bool ProgramHarness::waitUntil(const std::function<bool()>& holds, double mostMs) {
     const auto start = std::chrono::steady_clock::now();
     while (!holds()) {
         if (std::chrono::steady_clock::now() - start > std::chrono::duration<double, std::milli>(mostMs))
             return false;
-        const timeval turn = timevalOf(5);
+        const timeval turn = toTimeval(5);
         event_base_loopexit(base.get(), &turn);
         event_base_loop(base.get(), EVLOOP_ONCE);
-        answerWatches();
+        answerDiscoveryCalls();
         readLog();
     }
     return true;
 }
 
-bool World::running() {
-    if (pid_ > 0 && waitpid(pid_, &exit_, WNOHANG) == pid_) pid_ = 0;
+bool ProgramHarness::running() {
+    if (pid_ > 0 && waitpid(pid_, &waitStatus_, WNOHANG) == pid_) pid_ = 0;
     return pid_ > 0;
 }
 
-int World::end(int number) {
-    if (running() && !(told_ && number == SIGTERM)) signal(number);
-    if (!until([this] { return !running(); })) return -1;
-    return WIFEXITED(exit_) ? WEXITSTATUS(exit_) : 128 + WTERMSIG(exit_);
+int ProgramHarness::stopAndWait(int number) {
+    if (running() && !(terminationRequested_ && number == SIGTERM)) sendSignal(number);
+    if (!waitUntil([this] { return !running(); })) return -1;
+    return WIFEXITED(waitStatus_) ? WEXITSTATUS(waitStatus_) : 128 + WTERMSIG(waitStatus_);
 }
 
-void World::readLog() { log = contents(folder_ + "/log"); }
+void ProgramHarness::readLog() { log = contents(folder_ + "/log"); }
 
-Json World::entry(const std::string& name, const Address& dial, int shard, const std::string& health) const {
-    return {{"host", name},   {"dial", dial.text()}, {"site", "a"},  {"class", "m"},
-            {"block", shard}, {"health", health},    {"share", 1.0}, {"born_ms", 0}};
+Json ProgramHarness::makeNodeEntry(const std::string& name, const Address& dial, int shard,
+                                   const std::string& health) const {
+    return {{"host", name},   {"dial", dial.toString()}, {"site", "a"},  {"class", "m"},
+            {"block", shard}, {"health", health},        {"share", 1.0}, {"born_ms", 0}};
 }
-void World::tell(const std::string& name, const Address& dial, int shard, const std::string& health) {
-    const Json told = entry(name, dial, shard, health);
-    changes_[++seq_] = told;
-    hosts_[name] = told;
-    if (health == "gone") hosts_.erase(name);
-    answerWatches();
+void ProgramHarness::announceNode(const std::string& name, const Address& dial, int shard,
+                                  const std::string& health) {
+    const Json told = makeNodeEntry(name, dial, shard, health);
+    changesByVersion_[++version_] = told;
+    nodesByName_[name] = told;
+    if (health == "gone") nodesByName_.erase(name);
+    answerDiscoveryCalls();
 }
-void World::tellRaw(const std::string& body) {
-    raw_ = body;
-    answerWatches();
+void ProgramHarness::replyRawToNextWatch(const std::string& body) {
+    rawReply_ = body;
+    answerDiscoveryCalls();
 }
-void World::tellThenClose(const std::string& bytes) {
-    rawThenClose_ = true;
-    tellRaw(bytes);
+void ProgramHarness::replyRawThenClose(const std::string& bytes) {
+    closeAfterRawReply_ = true;
+    replyRawToNextWatch(bytes);
 }
-void World::answerLists(bool on) {
-    answersLists_ = on;
-    answerWatches();
+void ProgramHarness::setDiscoveryAnswers(bool on) {
+    answersDiscovery_ = on;
+    answerDiscoveryCalls();
 }
 // As discovery does: a call for the whole list at once, a watch with what is newer than it knows, or with
 // nothing at its wait's end. A raw answer goes to the next watch.
-void World::answerWatches() {
-    std::erase_if(waiting_, [this](const Waiting& call) {
-        if (call.wire->closed) return true;
-        if (!answersLists_) return false;
+void ProgramHarness::answerDiscoveryCalls() {
+    std::erase_if(pendingCalls_, [this](const PendingCall& call) {
+        if (call.connection->closedByPeer) return true;
+        if (!answersDiscovery_) return false;
         Json hosts = Json::array();
-        if (call.whole) {
-            for (const auto& [name, host] : hosts_) hosts.push_back(host);
+        if (call.wantsSnapshot) {
+            for (const auto& [name, host] : nodesByName_) hosts.push_back(host);
         } else {
-            if (!raw_.empty()) {
-                const std::string raw = std::exchange(raw_, {});
-                std::exchange(rawThenClose_, false) ? call.wire->sendLast(raw)
-                                                    : call.wire->send(httpReply(200, raw));
+            if (!rawReply_.empty()) {
+                const std::string raw = std::exchange(rawReply_, {});
+                std::exchange(closeAfterRawReply_, false) ? call.connection->sendAndShutdown(raw)
+                                                          : call.connection->send(makeHttpReply(200, raw));
                 return true;
             }
-            for (const auto& [version, change] : changes_)
-                if (version > call.after) hosts.push_back(change);
-            if (hosts.empty() && std::chrono::steady_clock::now() < call.until) return false;
+            for (const auto& [version, change] : changesByVersion_)
+                if (version > call.afterVersion) hosts.push_back(change);
+            if (hosts.empty() && std::chrono::steady_clock::now() < call.answerByTime) return false;
         }
-        const Json list{{"seq", seq_}, {"whole", call.whole}, {"hosts", hosts}};
-        call.wire->send(httpReply(200, list.dump()));
+        const Json list{{"seq", version_}, {"whole", call.wantsSnapshot}, {"hosts", hosts}};
+        call.connection->send(makeHttpReply(200, list.dump()));
         return true;
     });
 }
 
-Wire& World::connect() { return connect(listen); }
-Wire& World::connect(const Address& to) { return clients_.emplace_back(base.get(), to); }
-HttpText World::ask(const std::string& text) {
-    Wire wire(base.get(), listen);
+TestConnection& ProgramHarness::connect() { return connect(listenAddress); }
+TestConnection& ProgramHarness::connect(const Address& to) { return clients_.emplace_back(base.get(), to); }
+ParsedHttpMessage ProgramHarness::sendRequest(const std::string& text) {
+    TestConnection wire(base.get(), listenAddress);
     wire.send(text);
-    std::optional<HttpText> answer;
-    (void)until([&] { return (answer = takeHttp(wire.got)) || wire.closed; });
-    return answer.value_or(HttpText{"HTTP/1.1 000 closed\r\n", ""});
+    std::optional<ParsedHttpMessage> answer;
+    (void)waitUntil([&] { return (answer = takeHttpMessage(wire.received)) || wire.closedByPeer; });
+    return answer.value_or(ParsedHttpMessage{"HTTP/1.1 000 closed\r\n", ""});
 }
-std::string World::request(const std::string& id, const std::string& more, int deadlineMs,
-                           const std::string& body) {
+std::string ProgramHarness::makeRequest(const std::string& id, const std::string& more, int deadlineMs,
+                                        const std::string& body) {
     return std::string(body.empty() ? "GET /read" : "PUT /write") +
            "/00000003b4d60021/7f3a9c21e0b4d655?x=1 HTTP/1.1\r\nHost: b\r\nReq-Id: " + id +
            "\r\nTier: basic\r\nReq-Deadline-Ms: " + std::to_string(deadlineMs) +
@@ -474,13 +485,13 @@
                          : "Idempotency-Key: k\r\nContent-Length: " + std::to_string(body.size()) + "\r\n") +
            "\r\n" + body;
 }
-long long World::counter(const std::string& name) {
-    const std::string text = '\n' + ask("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n").body;
+long long ProgramHarness::readCounter(const std::string& name) {
+    const std::string text = '\n' + sendRequest("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n").body;
     const std::size_t at = text.find('\n' + name + ' ');
     return at == text.npos ? 0 : std::stoll(text.substr(at + name.size() + 2));
 }
 
-std::pair<int, std::string> runOnce(const Json& config, const Json& nbd, const Json& etcd) {
+std::pair<int, std::string> runUntilExit(const Json& config, const Json& nbd, const Json& etcd) {
     const std::string folder = newFolder();
     int status = 0;
     waitpid(spawn(folder, config, {{"nbd", nbd}, {"etcd", etcd}}), &status, 0);
--- a/tests/program/xds_test.cpp
+++ b/tests/program/xds_test.cpp
@@ -18,7 +18,7 @@
 struct Proxy {
     explicit Proxy(const martencove::Address& server)
         : stub(discovery::AggregatedDiscoveryService::NewStub(
-              grpc::CreateChannel(server.text(), grpc::InsecureChannelCredentials()))) {
+              grpc::CreateChannel(server.toString(), grpc::InsecureChannelCredentials()))) {
         context.set_wait_for_ready(true);
         context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(30));
         stream = stub->StreamAggregatedResources(&context);
@@ -54,11 +54,11 @@
 }  // namespace
 
 TEST_CASE("endpoints over ADS: what is chosen, what drains, what goes") {
-    World world;
-    const FreeAddress first, second, listen;
-    world.config["known"]["hosts"] = {world.entry("s-1", first, 5, "ready"),
-                                      world.entry("s-2", second, 5, "ready")};
-    world.xds = {{"listen", listen.text()}};
+    ProgramHarness world;
+    const ReservedAddress first, second, listen;
+    world.config["known"]["hosts"] = {world.makeNodeEntry("s-1", first, 5, "ready"),
+                                      world.makeNodeEntry("s-2", second, 5, "ready")};
+    world.xdsSection = {{"listen", listen.toString()}};
     world.start();
     Proxy proxy(listen);
     proxy.ask({"shard-5", "shard-9"});
@@ -89,9 +89,9 @@
 
     // The chosen node drains: the other one is chosen.
     const std::string name = chosen == first ? "s-1" : "s-2";
-    REQUIRE(world.until([&] { return world.watches > 0; }));
-    world.tell(name, chosen, 5, "draining");
-    REQUIRE(world.until([&] { return world.counter("xds_response") == 3; }));
+    REQUIRE(world.waitUntil([&] { return world.discoveryCallCount > 0; }));
+    world.announceNode(name, chosen, 5, "draining");
+    REQUIRE(world.waitUntil([&] { return world.readCounter("xds_response") == 3; }));
     response = proxy.next();
     CHECK(response.version_info() != narrowed.version_info());
     cluster = Proxy::assignment(response, 0);
@@ -99,9 +99,9 @@
         const bool drains = node.endpoint().address().socket_address().port_value() == chosen.port;
         CHECK(node.health_status() == (drains ? endpoint::DRAINING : endpoint::HEALTHY));
     }
-    world.tell(name, chosen, 5, "gone");
-    REQUIRE(world.until([&] { return world.counter("xds_response") == 4; }));
+    world.announceNode(name, chosen, 5, "gone");
+    REQUIRE(world.waitUntil([&] { return world.readCounter("xds_response") == 4; }));
     CHECK(Proxy::assignment(proxy.next(), 0).endpoints(0).lb_endpoints_size() == 1);
-    CHECK(world.counter("xds_nack") == 1);
-    CHECK(world.end() == 0);  // with a stream still open
+    CHECK(world.readCounter("xds_nack") == 1);
+    CHECK(world.stopAndWait() == 0);  // with a stream still open
 }
--- a/tests/roster/roster_test.cpp
+++ b/tests/roster/roster_test.cpp
@@ -14,69 +14,76 @@
 /// A roster beside what its effects add up to: the states that the decisions would have.
 struct View {
     Roster roster{1024};
-    std::map<std::uint64_t, Health> states;
+    std::map<std::uint64_t, ReportedState> states;
 
-    std::size_t take(const List& list) {
-        const Effect effect = roster.take(list);
-        for (const std::size_t i : effect.taken) states[list.nodes[i].id] = list.nodes[i].health;
-        for (const Told& left : effect.left) states[left.id] = left.health;
-        return effect.stale;
+    std::size_t take(const ReportedList& list) {
+        const MergeResult effect = roster.merge(list);
+        for (const std::size_t i : effect.appliedIndexes) states[list.nodes[i].id] = list.nodes[i].state;
+        for (const NodeReport& left : effect.removed) states[left.id] = left.state;
+        return effect.staleCount;
     }
-    Health of(std::uint64_t id) const { return states.at(id); }
+    ReportedState of(std::uint64_t id) const { return states.at(id); }
 };
 
-List update(std::int64_t version, std::vector<Told> nodes) { return {version, false, std::move(nodes), {}}; }
-List whole(std::int64_t version, std::vector<Told> nodes) { return {version, true, std::move(nodes), {}}; }
+ReportedList update(std::int64_t version, std::vector<NodeReport> nodes) {
+    return {version, false, std::move(nodes), {}};
+}
+ReportedList whole(std::int64_t version, std::vector<NodeReport> nodes) {
+    return {version, true, std::move(nodes), {}};
+}
 
 }  // namespace
 
 TEST_CASE("an older whole list makes no leaving server of the same start ready again") {
     View v;
     v.take(whole(40, {{1}, {2}}));
-    v.take(update(41, {{1, Health::draining}}));
+    v.take(update(41, {{1, ReportedState::draining}}));
     CHECK(v.take(whole(40, {{1}, {2}})) == 1);
-    CHECK(v.of(1) == Health::draining);
-    CHECK(v.of(2) == Health::ready);
-    v.take(update(42, {{1, Health::gone}}));
-    CHECK(v.take(whole(41, {{1, Health::draining}, {2}})) == 1);
-    CHECK(v.of(1) == Health::gone);
+    CHECK(v.of(1) == ReportedState::draining);
+    CHECK(v.of(2) == ReportedState::ready);
+    v.take(update(42, {{1, ReportedState::gone}}));
+    CHECK(v.take(whole(41, {{1, ReportedState::draining}, {2}})) == 1);
+    CHECK(v.of(1) == ReportedState::gone);
     // The same version again says nothing new either.
     CHECK(v.take(update(42, {{1}})) == 1);
-    CHECK(v.of(1) == Health::gone);
+    CHECK(v.of(1) == ReportedState::gone);
 }
 
 TEST_CASE("a real return is believed: a later start, or a newer version that calls it ready") {
     View v;
     v.take(whole(40, {{1}, {2}}));
-    v.take(update(41, {{1, Health::draining}, {2, Health::draining}}));
-    v.take(update(40, {{1, Health::ready, 7000}}));  // an older list, a later start
-    CHECK(v.of(1) == Health::ready);
+    v.take(update(41, {{1, ReportedState::draining}, {2, ReportedState::draining}}));
+    v.take(update(40, {{1, ReportedState::ready, 7000}}));  // an older list, a later start
+    CHECK(v.of(1) == ReportedState::ready);
     v.take(update(42, {{2}}));
-    CHECK(v.of(2) == Health::ready);
+    CHECK(v.of(2) == ReportedState::ready);
     // What is said of a former start, late, says nothing of this one.
-    CHECK(v.take(update(41, {{1, Health::gone, 0}})) == 1);
-    CHECK(v.of(1) == Health::ready);
+    CHECK(v.take(update(41, {{1, ReportedState::gone, 0}})) == 1);
+    CHECK(v.of(1) == ReportedState::ready);
 }
 
 TEST_CASE("draining, gone and back with a later start in one list, in whatever order") {
-    std::vector<Told> said{{1, Health::draining, 0}, {1, Health::gone, 0}, {1, Health::ready, 7000}};
-    std::sort(said.begin(), said.end(), [](const Told& a, const Told& b) { return a.health < b.health; });
+    std::vector<NodeReport> said{
+        {1, ReportedState::draining, 0}, {1, ReportedState::gone, 0}, {1, ReportedState::ready, 7000}};
+    std::sort(said.begin(), said.end(),
+              [](const NodeReport& a, const NodeReport& b) { return a.state < b.state; });
     do {
         View v;
         v.take(whole(40, {{1}}));
         v.take(update(41, said));
-        CHECK(v.of(1) == Health::ready);
-    } while (std::next_permutation(said.begin(), said.end(),
-                                   [](const Told& a, const Told& b) { return a.health < b.health; }));
+        CHECK(v.of(1) == ReportedState::ready);
+    } while (std::next_permutation(said.begin(), said.end(), [](const NodeReport& a, const NodeReport& b) {
+        return a.state < b.state;
+    }));
 }
 
 TEST_CASE("named twice in one list, with one start: the leaving counts") {
     for (const bool leavingFirst : {true, false}) {
         View v;
         v.take(whole(40, {{1}}));
-        const Told leaving{1, Health::draining, 0}, ready{1, Health::ready, 0};
+        const NodeReport leaving{1, ReportedState::draining, 0}, ready{1, ReportedState::ready, 0};
         v.take(leavingFirst ? update(41, {leaving, ready}) : update(41, {ready, leaving}));
-        CHECK(v.of(1) == Health::draining);
+        CHECK(v.of(1) == ReportedState::draining);
     }
 }
 
@@ -84,32 +91,32 @@
     View v;
     v.take(whole(40, {{1}, {2}, {3}}));
     v.take({41, true, {{1}}, {2}});
-    CHECK(v.of(1) == Health::ready);
-    CHECK(v.of(2) == Health::ready);
-    CHECK(v.of(3) == Health::gone);
+    CHECK(v.of(1) == ReportedState::ready);
+    CHECK(v.of(2) == ReportedState::ready);
+    CHECK(v.of(3) == ReportedState::gone);
     // An older one that leaves out what came since: out, until the newer list names it again.
     v.take(update(42, {{4}}));
     v.take(whole(41, {{1}, {2}}));
-    CHECK(v.of(4) == Health::gone);
+    CHECK(v.of(4) == ReportedState::gone);
     v.take(update(42, {{4}}));
-    CHECK(v.of(4) == Health::ready);
+    CHECK(v.of(4) == ReportedState::ready);
 }
 
 TEST_CASE("leaving that an older list tells takes effect, and a newer list may take it back") {
     View v;
     v.take(whole(45, {{1}}));
-    v.take(whole(41, {{1, Health::draining}}));
-    CHECK(v.of(1) == Health::draining);
+    v.take(whole(41, {{1, ReportedState::draining}}));
+    CHECK(v.of(1) == ReportedState::draining);
     v.take(whole(45, {{1}}));
-    CHECK(v.of(1) == Health::ready);
+    CHECK(v.of(1) == ReportedState::ready);
 }
 
 TEST_CASE("what is remembered is bounded, the newest of what is gone is kept") {
     Roster roster(100);
     for (int i = 0; i < 10'000; ++i)
-        (void)roster.take(update(i, {{static_cast<std::uint64_t>(i), Health::gone}}));
+        (void)roster.merge(update(i, {{static_cast<std::uint64_t>(i), ReportedState::gone}}));
     CHECK(roster.size() <= 101);
-    CHECK(roster.take(update(9998, {{9999}})).stale == 1);
+    CHECK(roster.merge(update(9998, {{9999}})).staleCount == 1);
 }
 
 // A script of real changes, told whole, in part, late and twice, at random: once a leaving was told, no list
@@ -119,47 +126,48 @@
         CAPTURE(seed);
         std::mt19937_64 random(seed);
         const auto below = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
-        std::vector<std::map<std::uint64_t, Told>> history{{}};  // by version
+        std::vector<std::map<std::uint64_t, NodeReport>> history{{}};  // by version
         for (std::uint64_t id = 1; id <= 20; ++id) history[0][id] = {id};
         for (int version = 1; version <= 300; ++version) {
             auto now = history.back();
-            Told& t = now[1 + static_cast<std::uint64_t>(below(20))];
-            if (t.health == Health::ready)
-                t.health = Health::draining;
-            else if (t.health == Health::draining)
-                t.health = Health::gone;
+            NodeReport& t = now[1 + static_cast<std::uint64_t>(below(20))];
+            if (t.state == ReportedState::ready)
+                t.state = ReportedState::draining;
+            else if (t.state == ReportedState::draining)
+                t.state = ReportedState::gone;
             else
-                t = {t.id, Health::ready, version * 1000.0};
+                t = {t.id, ReportedState::ready, version * 1000.0};
             history.push_back(now);
         }
         View v;
         std::map<std::uint64_t, double> leftStart;  // the latest start that is known to leave
         for (int step = 0, newest = 0; step < 3000; ++step) {
             const int version = below(4) == 0 ? newest = std::min(300, newest + below(3)) : below(newest + 1);
-            List list{version, below(2) == 0, {}, {}};
+            ReportedList list{version, below(2) == 0, {}, {}};
             for (const auto& [id, told] : history[static_cast<std::size_t>(version)])
-                if ((list.whole && told.health != Health::gone) || (!list.whole && below(3) == 0))
+                if ((list.isSnapshot && told.state != ReportedState::gone) ||
+                    (!list.isSnapshot && below(3) == 0))
                     list.nodes.push_back(told);
             v.take(list);
-            for (const Told& told : list.nodes)
-                if (told.health != Health::ready) {
+            for (const NodeReport& told : list.nodes)
+                if (told.state != ReportedState::ready) {
                     double& start = leftStart.try_emplace(told.id, -1).first->second;
-                    start = std::max(start, told.bornMs);
+                    start = std::max(start, told.bootTimeMs);
                 }
             for (const auto& [id, health] : v.states) {
-                if (health != Health::ready || !leftStart.contains(id)) continue;
+                if (health != ReportedState::ready || !leftStart.contains(id)) continue;
                 double start = 0;  // of the ready entries told so far the roster believes the latest
                 for (int i = 0; i <= newest; ++i)
-                    if (const Told& t = history[static_cast<std::size_t>(i)].at(id);
-                        t.health == Health::ready)
-                        start = std::max(start, t.bornMs);
+                    if (const NodeReport& t = history[static_cast<std::size_t>(i)].at(id);
+                        t.state == ReportedState::ready)
+                        start = std::max(start, t.bootTimeMs);
                 CHECK(start > leftStart.at(id));
             }
         }
-        List last = whole(301, {});
+        ReportedList last = whole(301, {});
         for (const auto& [id, told] : history.back())
-            if (told.health != Health::gone) last.nodes.push_back(told);
+            if (told.state != ReportedState::gone) last.nodes.push_back(told);
         v.take(last);
-        for (const auto& [id, told] : history.back()) CHECK(v.of(id) == told.health);
+        for (const auto& [id, told] : history.back()) CHECK(v.of(id) == told.state);
     }
 }
--- a/tests/shutdown/schedule_test.cpp
+++ b/tests/shutdown/schedule_test.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr double kStallMs = ShutdownSchedule::kStallMs;
-constexpr double kTurnMs = ShutdownSchedule::kTurnMs;
-constexpr double kWayOutMs = ShutdownSchedule::kWayOutMs;
+constexpr double kStallMs = ShutdownSchedule::kMaxStallMs;
+constexpr double kTurnMs = ShutdownSchedule::kLoopTurnMs;
+constexpr double kWayOutMs = ShutdownSchedule::kMaxDeliveryMs;
 
 /// When SIGKILL comes at the earliest, counted from SIGTERM, by the protocol's words.
 double killAfterSigterm(double deadlineMs) { return (deadlineMs > 3000 ? 3000 : deadlineMs) + 700; }
@@ -38,7 +38,7 @@
     for (const double deadlineMs : deadlines()) {
         CAPTURE(deadlineMs);
         const auto steps = ShutdownSchedule::forLongestDeadline(deadlineMs);
-        CHECK(steps.killMs + kStallMs + kTurnMs == killAfterSigterm(deadlineMs));
+        CHECK(steps.earliestSigkillMs + kStallMs + kTurnMs == killAfterSigterm(deadlineMs));
     }
 }
 
@@ -53,7 +53,7 @@
         CHECK(steps.firstAttemptUntilMs <= steps.furtherAttemptUntilMs);
         CHECK(steps.furtherAttemptUntilMs <= steps.answerByMs);
         CHECK(steps.answerByMs < steps.exitByMs);
-        CHECK(steps.exitByMs < steps.killMs);
+        CHECK(steps.exitByMs < steps.earliestSigkillMs);
     }
 }
 
@@ -91,8 +91,8 @@
     const auto late = ShutdownSchedule::forLongestDeadline(3000).startingAt(1000);
     const auto soon = ShutdownSchedule::forLongestDeadline(500).startingAt(2000);
     const auto both = late.earlierOf(soon);
-    CHECK(both.killMs == std::min(late.killMs, soon.killMs));
-    CHECK(both.killMs == soon.earlierOf(late).killMs);
+    CHECK(both.earliestSigkillMs == std::min(late.earliestSigkillMs, soon.earliestSigkillMs));
+    CHECK(both.earliestSigkillMs == soon.earlierOf(late).earliestSigkillMs);
     CHECK(both.acceptUntilMs == late.acceptUntilMs);
     CHECK(both.answerByMs == soon.answerByMs);
     CHECK(both.exitByMs == soon.exitByMs);
@@ -101,23 +101,23 @@
 
 TEST_CASE("longest deadline: a shorter one counts at once, a longer one once it has settled") {
     LongestDeadline longest(2000);
-    longest.change(10'000, 500);
-    CHECK(longest.at(10'000) == 500);
-    longest.change(11'000, 4000);
-    CHECK(longest.at(11'001) == 500);
-    CHECK(longest.at(14'999) == 500);
-    CHECK(longest.at(15'000) == 4000);
+    longest.update(10'000, 500);
+    CHECK(longest.deadlineMsAt(10'000) == 500);
+    longest.update(11'000, 4000);
+    CHECK(longest.deadlineMsAt(11'001) == 500);
+    CHECK(longest.deadlineMsAt(14'999) == 500);
+    CHECK(longest.deadlineMsAt(15'000) == 4000);
 }
 
 TEST_CASE("longest deadline: changes in quick succession count by the shortest of them") {
     LongestDeadline longest(1000);
-    longest.change(0, 3000);
-    longest.change(100, 2000);
-    CHECK(longest.at(200) == 1000);
-    CHECK(longest.at(4100) == 2000);
-    longest.change(5000, 900);
-    longest.change(5100, 2000);
-    longest.change(5200, 800);
-    CHECK(longest.at(5200) == 800);
-    CHECK(longest.at(60'000) == 800);
+    longest.update(0, 3000);
+    longest.update(100, 2000);
+    CHECK(longest.deadlineMsAt(200) == 1000);
+    CHECK(longest.deadlineMsAt(4100) == 2000);
+    longest.update(5000, 900);
+    longest.update(5100, 2000);
+    longest.update(5200, 800);
+    CHECK(longest.deadlineMsAt(5200) == 800);
+    CHECK(longest.deadlineMsAt(60'000) == 800);
 }
