--- a/src/cli/nodes.cpp
+++ b/src/cli/nodes.cpp
@@ -5,10 +5,10 @@
 
 #include "core/clock.h"
 #include "core/limits.h"
+#include "files/file_io.h"
 #include "files/node_file.h"
-#include "files/read.h"
 #include "files/watch.h"
-#include "membership/gate.h"
+#include "membership/membership_manager.h"
 #include "net/address.h"
 #include "net/loop.h"
 
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -17,7 +17,7 @@
 #include "net/discovery.h"
 #include "net/log.h"
 #include "net/loop.h"
-#include "net/peers.h"
+#include "net/peer_socket.h"
 #include "ops/front.h"
 #include "settings_json/retune.h"
 #include "shutdown/schedule.h"
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -2,7 +2,7 @@
 
 #include "config/config.h"
 #include "config/nbd_section.h"
-#include "files/read.h"
+#include "files/file_io.h"
 #include "files/text_format.h"
 #include "operator.pb.h"
 #include "settings_json/fields.h"
--- a/src/core/limits.h
+++ b/src/core/limits.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 
 #include "core/backoff.h"
-#include "core/grace.h"
+#include "core/discovery_timing.h"
 
 namespace martencove {
 
--- a/src/files/read.cpp
+++ b/src/files/file_io.cpp
@@ -1,4 +1,4 @@
-#include "files/read.h"
+#include "files/file_io.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
--- a/src/files/node_file.cpp
+++ b/src/files/node_file.cpp
@@ -8,7 +8,7 @@
 #include <limits>
 #include <stdexcept>
 
-#include "files/read.h"
+#include "files/file_io.h"
 #include "files/text_format.h"
 #include "nodes.pb.h"
 
--- a/src/files/reader.cpp
+++ b/src/files/node_file_monitor.cpp
@@ -8,8 +8,8 @@
 #include <stdexcept>
 #include <utility>
 
+#include "files/file_io.h"
 #include "files/node_file.h"
-#include "files/read.h"
 #include "files/source.h"
 
 namespace martencove::files {
--- a/src/files/source.h
+++ b/src/files/source.h
@@ -16,7 +16,7 @@
 #include "core/limits.h"
 #include "core/values.h"
 #include "files/watch.h"
-#include "membership/gate.h"
+#include "membership/membership_manager.h"
 #include "net/log.h"
 #include "net/loop.h"
 
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -7,7 +7,7 @@
 
 #include "core/dispatcher.h"
 #include "http/message.h"
-#include "http/node_link.h"
+#include "http/node_connection.h"
 #include "http/response_stream.h"
 #include "net/address.h"
 #include "net/lingering_closes.h"
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "core/values.h"
-#include "http/node_link.h"
+#include "http/node_connection.h"
 #include "settings_json/settings_json.h"
 
 namespace martencove {
--- a/src/http/node_link.cpp
+++ b/src/http/node_connection.cpp
@@ -1,4 +1,4 @@
-#include "http/node_link.h"
+#include "http/node_connection.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/http/node_link.h
+++ b/src/http/node_connection.h
@@ -7,8 +7,8 @@
 #include <utility>
 #include <vector>
 
-#include "http/answer.h"
-#include "net/link_pool.h"
+#include "http/response_parser.h"
+#include "net/node_connection_pool.h"
 
 namespace martencove {
 
--- a/src/http/answer.cpp
+++ b/src/http/response_parser.cpp
@@ -1,4 +1,4 @@
-#include "http/answer.h"
+#include "http/response_parser.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/http/response_stream.h
+++ b/src/http/response_stream.h
@@ -8,7 +8,7 @@
 
 #include "core/counters.h"
 #include "core/limits.h"
-#include "http/node_link.h"
+#include "http/node_connection.h"
 #include "net/loop.h"
 
 namespace martencove {
--- a/src/limedrum/fleet.h
+++ b/src/limedrum/fleet.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "spread.h"
+#include "rendezvous.h"
 #include "state.h"
 
 namespace limedrum {
--- a/src/limedrum/memory.cpp
+++ b/src/limedrum/learned_state.cpp
@@ -1,4 +1,4 @@
-#include "memory.h"
+#include "learned_state.h"
 
 #include <array>
 #include <charconv>
--- a/src/limedrum/scheduler_impl.h
+++ b/src/limedrum/scheduler_impl.h
@@ -15,7 +15,7 @@
 
 #include "bids.h"
 #include "fleet.h"
-#include "memory.h"
+#include "learned_state.h"
 #include "state.h"
 #include "tuning.h"
 
--- a/src/membership/checks.h
+++ b/src/membership/checks.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "membership/gate.h"
 #include "membership/membership.h"
+#include "membership/membership_manager.h"
 
 namespace martencove::membership {
 
--- a/src/membership/gate.cpp
+++ b/src/membership/membership_manager.cpp
@@ -1,4 +1,4 @@
-#include "membership/gate.h"
+#include "membership/membership_manager.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/nbd/front.h
+++ b/src/nbd/front.h
@@ -6,7 +6,7 @@
 
 #include "config/nbd_config.h"
 #include "core/dispatcher.h"
-#include "nbd/node_link.h"
+#include "nbd/node_connection.h"
 #include "net/lingering_closes.h"
 #include "net/log.h"
 #include "net/loop.h"
--- a/src/nbd/node_link.cpp
+++ b/src/nbd/node_connection.cpp
@@ -1,4 +1,4 @@
-#include "nbd/node_link.h"
+#include "nbd/node_connection.h"
 
 namespace martencove::nbd {
 
--- a/src/nbd/node_link.h
+++ b/src/nbd/node_connection.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "nbd/codec.h"
-#include "net/link_pool.h"
+#include "net/node_connection_pool.h"
 
 namespace martencove::nbd {
 
--- a/src/net/link.cpp
+++ b/src/net/node_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/link.h"
+#include "net/node_connection.h"
 
 #include <sys/socket.h>
 
--- a/src/net/link_pool.h
+++ b/src/net/node_connection_pool.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "core/clock.h"
-#include "net/link.h"
+#include "net/node_connection.h"
 
 namespace martencove {
 
--- a/src/net/peers.cpp
+++ b/src/net/peer_socket.cpp
@@ -1,4 +1,4 @@
-#include "net/peers.h"
+#include "net/peer_socket.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
--- a/tests/core/grace_test.cpp
+++ b/tests/core/discovery_timing_test.cpp
@@ -1,5 +1,5 @@
 // Whether the parts of a grace fit into it, whatever its length.
-#include "core/grace.h"
+#include "core/discovery_timing.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/files/form_test.cpp
+++ b/tests/files/node_file_test.cpp
@@ -1,4 +1,6 @@
 // The form of a file of nodes, and the watch on files, without the program.
+#include "files/node_file.h"
+
 #include <doctest/doctest.h>
 #include <poll.h>
 #include <sys/stat.h>
@@ -8,10 +10,9 @@
 #include <fstream>
 #include <random>
 
-#include "files/node_file.h"
-#include "files/read.h"
+#include "files/file_io.h"
 #include "files/watch.h"
-#include "membership/gate.h"
+#include "membership/membership_manager.h"
 
 using namespace martencove;
 using namespace martencove::files;
--- a/tests/files/source_test.cpp
+++ b/tests/files/source_test.cpp
@@ -10,7 +10,7 @@
 #include <sstream>
 
 #include "files/node_file.h"
-#include "program/world.h"
+#include "program/program_harness.h"
 
 using namespace martencove;
 using namespace martencove::test;
--- a/tests/membership/gate_test.cpp
+++ b/tests/membership/membership_manager_test.cpp
@@ -1,5 +1,5 @@
 // Which versions of the node list come into force. No files, no clock.
-#include "membership/gate.h"
+#include "membership/membership_manager.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/ops/ops_test.cpp
+++ b/tests/ops/ops_test.cpp
@@ -2,7 +2,7 @@
 // takes them back.
 #include <doctest/doctest.h>
 
-#include "program/world.h"
+#include "program/program_harness.h"
 
 using namespace martencove::test;
 
--- a/tests/program/ends_test.cpp
+++ b/tests/program/ends_test.cpp
@@ -5,7 +5,7 @@
 
 #include <chrono>
 
-#include "world.h"
+#include "program_harness.h"
 
 using namespace martencove::test;
 
--- a/tests/program/etcd_test.cpp
+++ b/tests/program/etcd_test.cpp
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 
 #include "etcd/messages.h"
-#include "world.h"
+#include "program_harness.h"
 
 using namespace martencove::test;
 using martencove::etcd::fromBase64;
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 
 #include "core/clock.h"
-#include "world.h"
+#include "program_harness.h"
 
 using namespace martencove::test;
 
--- a/tests/program/list_test.cpp
+++ b/tests/program/list_test.cpp
@@ -9,7 +9,7 @@
 #include <chrono>
 #include <cstdio>
 
-#include "world.h"
+#include "program_harness.h"
 
 using namespace martencove::test;
 
--- a/tests/program/long_test.cpp
+++ b/tests/program/long_test.cpp
@@ -1,7 +1,7 @@
 // Answers that are too long to be held: they go on to the client as they come.
 #include <doctest/doctest.h>
 
-#include "world.h"
+#include "program_harness.h"
 
 using namespace martencove::test;
 
--- a/tests/program/nbd_node.h
+++ b/tests/program/nbd_node.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "nbd/codec.h"
-#include "world.h"
+#include "program_harness.h"
 
 namespace martencove::test {
 
--- a/tests/program/world.cpp
+++ b/tests/program/program_harness.cpp
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "program_harness.h"
 
 #include <arpa/inet.h>
 #include <event2/listener.h>
--- a/tests/program/retune_test.cpp
+++ b/tests/program/retune_test.cpp
@@ -4,8 +4,8 @@
 
 #include <doctest/doctest.h>
 
+#include "program_harness.h"
 #include "settings_json/fields.h"
-#include "world.h"
 
 using namespace martencove::test;
 using limedrum::fields::FieldError;
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -8,7 +8,7 @@
 
 #include <algorithm>
 
-#include "world.h"
+#include "program_harness.h"
 
 using namespace martencove::test;
 
--- a/tests/program/spoilt_test.cpp
+++ b/tests/program/spoilt_test.cpp
@@ -2,7 +2,7 @@
 // nodes whose bytes are written out by hand.
 #include <doctest/doctest.h>
 
-#include "world.h"
+#include "program_harness.h"
 
 using namespace martencove::test;
 
--- a/tests/program/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <thread>
 
-#include "world.h"
+#include "program_harness.h"
 
 using namespace martencove::test;
 
--- a/tests/program/xds_test.cpp
+++ b/tests/program/xds_test.cpp
@@ -3,7 +3,7 @@
 #include <grpcpp/grpcpp.h>
 
 #include "endpoint.pb.h"
-#include "world.h"
+#include "program_harness.h"
 #include "xds.grpc.pb.h"
 
 using namespace martencove::test;
