--- a/src/membership/checks.cpp
+++ b/src/membership/checks.cpp
@@ -13,7 +13,7 @@
 std::string number(std::uint64_t value) { return std::to_string(value); }
 std::string quoted(const std::string& text) { return '"' + text + '"'; }
 
-/// What one file alone shows of being whole.
+/// Checks that a file by itself is complete.
 void checkWhole(const ParsedNodeFile& d, ProblemCollector& problems) {
     for (const Problem& problem : d.problems)
         problems.add(problem.location, problem.reason, problem.severity);
@@ -21,12 +21,13 @@
     const auto incomplete = [&](const std::string& why) {
         problems.add({d.file, 0, 0}, why, Severity::incomplete);
     };
-    if (d.version == 0) problems.add({d.file, 0, 0}, "version: missing or 0, they count from 1");
+    if (d.version == 0) problems.add({d.file, 0, 0}, "version: missing or 0; versions are numbered from 1");
     if (d.version != d.trailerVersion)
-        incomplete("begins as version " + number(d.version) + " and ends as version " +
+        incomplete("starts with version " + number(d.version) + " but ends with version " +
                    number(d.trailerVersion));
     if (d.declaredCount != d.members.size())
-        incomplete("count says " + number(d.declaredCount) + " nodes, there are " + number(d.members.size()));
+        incomplete("count is " + number(d.declaredCount) + ", but the file has " + number(d.members.size()) +
+                   " nodes");
 }
 
 bool goodName(const std::string& name) {
@@ -37,7 +38,7 @@
     return !name.empty() && name.size() <= 128 && std::all_of(name.begin(), name.end(), good);
 }
 
-/// "host:port" with a number for a port; what a host may be is for those who dial it.
+/// Returns whether the address is "host:port" with a port from 1 to 65535. The host is not checked here.
 bool goodDial(const std::string& dial) {
     const std::size_t colon = dial.rfind(':');
     if (colon == dial.npos || colon == 0 || dial.size() > 256) return false;
@@ -47,7 +48,7 @@
            std::stoi(port) >= 1 && std::stoi(port) <= 65535;
 }
 
-/// An entry and the file that it stands in.
+/// An entry and the file that contains it.
 struct Entry {
     const ParsedNodeFile* draft = nullptr;
     const ParsedMember* told = nullptr;
@@ -58,9 +59,9 @@
     }
 };
 
-/// Weights of one shard's ready holders.
+/// The range of the weights of a shard's ready holders.
 struct Weights {
-    double least = INFINITY;  // of those above 0
+    double least = INFINITY;  // smallest weight above 0
     double most = 0;
     Entry first;
 };
@@ -74,17 +75,18 @@
         else if (w.most > w.least * rules.maxWeightRatio)
             problems.add(w.first.at(), "weight: in " + name + " the largest is " +
                                            std::to_string(std::llround(w.most / w.least)) +
-                                           " times the smallest, at most " +
-                                           std::to_string(std::llround(rules.maxWeightRatio)) + " are taken");
+                                           " times the smallest; at most " +
+                                           std::to_string(std::llround(rules.maxWeightRatio)) +
+                                           " times is allowed");
     }
 }
 
-/// What the permits that hold for this step let pass. Those of other steps are named in refusals.
+/// The removals that the permits for a change allow together.
 struct Allowed {
     std::set<std::string> racks;
     std::set<int> shards;
     double fleetPart = 0;
-    bool other = false;
+    bool other = false;  // whether there are permits for changes from another version
 };
 Allowed allowed(const std::vector<const ParsedNodeFile*>& parts, std::uint64_t from) {
     Allowed out;
@@ -130,24 +132,25 @@
     const ParsedNodeFile& head = *std::max_element(drafts.begin(), drafts.end(), byVersion);
     std::map<std::string, const ParsedNodeFile*> found;
     const std::set<std::string> wanted(head.partNames.begin(), head.partNames.end());
-    if (wanted.size() != head.partNames.size()) problems.add({head.file, 0, 0}, "parts: one is named twice");
+    if (wanted.size() != head.partNames.size())
+        problems.add({head.file, 0, 0}, "parts: a part is listed twice");
     if (wanted.empty() != head.partName.empty() || (!wanted.empty() && !wanted.contains(head.partName)))
         problems.add({head.file, 0, 0},
-                     "part: " + quoted(head.partName) + " is not among the version's parts");
+                     "part: " + quoted(head.partName) + " is not listed in the version's parts");
     for (const ParsedNodeFile& d : drafts) {
         if (d.version == head.version) {
             if (d.partNames != head.partNames)
                 problems.add({d.file, 0, 0},
-                             "parts: differ from those in " + head.file + " of the same version");
+                             "parts: differ from those in " + head.file + ", which has the same version");
             else if (!found.emplace(d.partName, &d).second)
-                problems.add({d.file, 0, 0},
-                             "part: " + quoted(d.partName) + " is also " + found.at(d.partName)->file);
+                problems.add({d.file, 0, 0}, "part: " + quoted(d.partName) + " is also the part of " +
+                                                 found.at(d.partName)->file);
         } else if (wanted.contains(d.partName)) {
             problems.add({d.file, 0, 0},
                          "part " + quoted(d.partName) + " is still at version " + number(d.version) + ", " +
                              head.file + " is at " + number(head.version),
                          Severity::incomplete);
-        }  // a part that the version no longer names is left over
+        }  // Older parts that the version no longer lists are ignored.
     }
     if (!problems.empty()) return {};
     for (const std::string& part : wanted) {
@@ -181,18 +184,18 @@
                 wrong("dial: " + quoted(m.address) + " is also the address of " +
                       quoted(at->second.told->member.name) + " in " + at->second.text());
             if (m.shard < 0 || (rules.shardCount > 0 && m.shard >= rules.shardCount))
-                wrong("shard: " + std::to_string(m.shard) + " is unknown" +
+                wrong("shard: " + std::to_string(m.shard) + " is out of range" +
                       (rules.shardCount > 0
-                           ? ", they are numbered from 0 to " + std::to_string(rules.shardCount - 1)
+                           ? "; shards are numbered from 0 to " + std::to_string(rules.shardCount - 1)
                            : std::string()));
             if (!std::isfinite(m.weight) || m.weight < 0) {
-                wrong("weight: not a number of 0 or more");
+                wrong("weight: must be a finite number of at least 0");
                 continue;
             }
             if (entry.hasBootTime && (!std::isfinite(m.bootTimeMs) || m.bootTimeMs < 0))
-                wrong("born_ms: not a time");
+                wrong("born_ms: must be a finite number of at least 0");
             else if (m.bootTimeMs > nowMs + rules.maxClockSkewMs)
-                wrong("born_ms: lies in the future");
+                wrong("born_ms: is too far in the future");
             if (m.state != MemberState::ready) continue;
             Weights& w = shards[m.shard];
             if (w.first.told == nullptr) w.first = here;
@@ -202,15 +205,15 @@
     }
     if (nodes > rules.maxNodes)
         problems.add({parts.front()->file, 0, 0},
-                     number(nodes) + " nodes, at most " + number(rules.maxNodes) + " are taken");
-    if (nodes == 0) problems.add({parts.front()->file, 0, 0}, "a version without any node");
+                     number(nodes) + " nodes; at most " + number(rules.maxNodes) + " are allowed");
+    if (nodes == 0) problems.add({parts.front()->file, 0, 0}, "the version has no nodes");
     checkWeights(shards, rules, problems);
 }
 
 void checkRemovals(const Membership& before, const std::vector<Member>& after, std::size_t leaving,
                    const std::vector<const ParsedNodeFile*>& parts, const MembershipRules& rules,
                    ProblemCollector& problems) {
-    std::set<std::string> racks;  // that serve afterwards
+    std::set<std::string> racks;  // with a serving node afterwards
     std::set<int> shards;
     for (const Member& m : after) {
         if (!m.serving()) continue;
@@ -231,20 +234,21 @@
     const std::string from = number(before.version);
     const SourceLocation head{parts.front()->file, 0, 0};
     const std::string hint =
-        may.other ? " (a permit names another version than " + from + ", which is in force)" : "";
+        may.other ? " (a permit names another version than " + from + ", the current version)" : "";
     for (const auto& [rack, nodes] : lostRacks) {
         if (may.racks.contains(rack)) continue;
         problems.add(head, "would take every node of rack " + quoted(rack) + " out of service (" +
-                               number(nodes) + "); if this is meant, add: permit { from_version: " + from +
+                               number(nodes) + "); if this is intended, add: permit { from_version: " + from +
                                " rack: " + quoted(rack) + " }" + hint);
     }
     for (const auto& [shard, nodes] : lostShards) {
         if (may.shards.contains(shard)) continue;
         problems.add(head, "would take every node of shard " + std::to_string(shard) + " out of service (" +
-                               number(nodes) + "); if this is meant, add: permit { from_version: " + from +
+                               number(nodes) + "); if this is intended, add: permit { from_version: " + from +
                                " shard: " + std::to_string(shard) + " }" + hint);
     }
-    // In small steps as in one: what left a moment ago counts too.
+    // Nodes lost recently count too, so that several small versions remove no more than one large version.
+    // The 1e-9 allows for rounding.
     const double all = static_cast<double>(serving + leaving);
     const double part = std::max(may.fleetPart, rules.maxLostFraction);
     const std::size_t gone = lost + leaving;
@@ -252,7 +256,7 @@
     problems.add(head, "would take " + number(gone) + " of " + number(serving + leaving) +
                            " nodes out of service within " +
                            std::to_string(std::llround(rules.removalDrainMs / 1000)) +
-                           " s; if this is meant, add: permit { from_version: " + from + " fleet_part: " +
+                           " s; if this is intended, add: permit { from_version: " + from + " fleet_part: " +
                            std::to_string(static_cast<double>(gone) / all).substr(0, 4) + " }" + hint);
 }
 
--- a/src/membership/checks.h
+++ b/src/membership/checks.h
@@ -1,5 +1,5 @@
-// What makes a version of the node list complete, sound and safe to switch to. Pure functions; gate.h calls
-// them.
+// Checks that a version of the node list is complete, valid and safe to activate. The functions have no side
+// effects beyond the problems that they report; MembershipManager calls them.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace martencove::membership {
 
-/// Collects problems up to a bound and counts the rest.
+/// Collects problems up to a limit and counts the rest.
 class ProblemCollector {
 public:
     explicit ProblemCollector(std::size_t most) : maxProblems_(most) {}
     void add(SourceLocation at, std::string reason, Severity severity = Severity::refused);
     [[nodiscard]] bool empty() const { return problems_.empty(); }
-    /// With a last one that says how many more there were.
+    /// Moves the problems out. If some were omitted, a last entry states how many.
     [[nodiscard]] std::vector<Problem> take();
 
 private:
@@ -25,17 +25,18 @@
     std::vector<Problem> problems_;
 };
 
-/// The drafts that make up the newest version among them, in order of their parts' names; problems where
-/// they do not make one up, yet or at all.
+/// Returns the files that make up the newest version, sorted by part name. Reports problems if they do not
+/// form a complete and consistent version.
 [[nodiscard]] std::vector<const ParsedNodeFile*> selectNewestVersion(
     const std::vector<ParsedNodeFile>& drafts, ProblemCollector& problems);
 
-/// Names, addresses, shards, weights and starts of one version's nodes.
+/// Checks the names, addresses, shards, weights and boot times of a version's nodes. `nowMs` is Unix time.
 void checkMembers(const std::vector<const ParsedNodeFile*>& parts, const MembershipRules& rules, double nowMs,
                   ProblemCollector& problems);
 
-/// What a switch from `before` to `after` would take away, against the guards and the permits.
-/// `leaving`: how many serving nodes have left already within the rule's time.
+/// Checks that the change from `before` to `after` removes no more serving nodes than the rules and the
+/// permits in `parts` allow. `leaving` is the number of serving nodes lost earlier within
+/// `rules.removalDrainMs`.
 void checkRemovals(const Membership& before, const std::vector<Member>& after, std::size_t leaving,
                    const std::vector<const ParsedNodeFile*>& parts, const MembershipRules& rules,
                    ProblemCollector& problems);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -18,7 +18,7 @@
     return text;
 }
 
-/// Walks two lists that are sorted by name: `gone`, `came` and `stayed` are told of each name once.
+/// Walks two member lists sorted by name and calls exactly one of `gone`, `came` and `stayed` for each name.
 template <typename Gone, typename Came, typename Stayed>
 void compare(const Membership* before, const Membership& after, Gone gone, Came came, Stayed stayed) {
     static const std::vector<Member> none;
@@ -68,8 +68,8 @@
         [&](const Member& a, const Member& b) {
             if (!(a == b)) out.push_back({b, stepOf(b)});
         });
-    // A shard's changes stand together, so that whoever takes them in parts can take a shard whole. Shards
-    // that lose a node come first: work to it must stop in time.
+    // A shard's changes are adjacent, so that a caller that applies the changes in slices can apply those of
+    // a shard together. Shards that lose a node come first, because new work for that node must stop in time.
     std::unordered_set<int> urgent;
     for (const MemberChange& c : out) {
         if (c.targetState != TargetState::ready) urgent.insert(c.member.shard);
@@ -110,13 +110,13 @@
             differ("weight", figure(a.weight), figure(b.weight));
             differ("rack", a.rack, b.rack);
             differ("state", state(a), state(b));
-            if (a.bootTimeMs != b.bootTimeMs) what += what.empty() ? " started anew" : ", started anew";
+            if (a.bootTimeMs != b.bootTimeMs) what += what.empty() ? " restarted" : ", restarted";
             if (what.empty()) return void(++same);
             ++changed;
             out.push_back("~ " + a.name + what);
         });
-    out.push_back(std::to_string(came) + " came, " + std::to_string(left) + " left, " +
-                  std::to_string(changed) + " changed, " + std::to_string(same) + " as before");
+    out.push_back(std::to_string(came) + " added, " + std::to_string(left) + " removed, " +
+                  std::to_string(changed) + " changed, " + std::to_string(same) + " unchanged");
     return out;
 }
 
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -46,8 +46,9 @@
         problems.add(head,
                      version < current_->version
                          ? "version " + std::to_string(version) + " is older than version " + now +
-                               ", which is in force; a newer number is needed, also to go back"
-                         : "version " + now + " is in force with other content; a change needs a new number");
+                               ", which is current; a rollback needs a higher version number too"
+                         : "version " + now +
+                               " is current with other content; a change needs a higher version number");
         return rejected(problems, version);
     }
     checkMembers(parts, rules_, nowMs, problems);
@@ -66,7 +67,6 @@
     return out;
 }
 
-// The nodes as the version names them, by name, with the start of each as far as it is known.
 std::vector<Member> MembershipManager::mergeParts(const std::vector<const ParsedNodeFile*>& parts,
                                                   double nowMs) const {
     std::vector<Member> out;
@@ -74,15 +74,15 @@
         for (const ParsedMember& entry : d->members) {
             Member m = entry.member;
             m.leaving = false;
-            // Seen first after the start, or at another address: a process that may just have started. One
-            // that left and came back is the same; it has kept its entry while it was leaving.
+            // A node that is new since the first version, or that has another address, may have just started.
+            // A node that was leaving and is listed again is the same one, because its entry was kept.
             const Member* known = current_ ? findMember(current_->members, m.name) : nullptr;
             const bool same = known != nullptr && known->address == m.address;
             if (!entry.hasBootTime)
                 m.bootTimeMs = same ? known->bootTimeMs : current_ ? nowMs : 0;
             else if (same)
-                m.bootTimeMs =
-                    std::max(m.bootTimeMs, known->bootTimeMs);  // an older start is an older writer's word
+                // An earlier boot time comes from a writer with outdated information.
+                m.bootTimeMs = std::max(m.bootTimeMs, known->bootTimeMs);
             out.push_back(std::move(m));
         }
     }
--- a/src/membership/membership_manager.h
+++ b/src/membership/membership_manager.h
@@ -1,9 +1,10 @@
-// Decides which version of the node list is in force. Does no I/O and reads no clock: what was read and the
-// time are handed in. Not thread-safe: one thread calls it, what it hands out is immutable.
+// Decides which version of the node list is current. Does no I/O and reads no clock: callers pass the parsed
+// files and the time. Not thread-safe: a single thread calls it; the memberships that it returns are
+// immutable.
 //
-// A version comes into force whole or not at all. It must be complete (every part there, each with its count,
-// its version at both ends and its seal), sound (names, addresses, shards, weights), newer than the one in
-// force, and must not take away more than the guards let pass.
+// A version is accepted as a whole or not at all. It must be complete (every part present, each with the
+// right count, the same version at both ends and its seal), valid (names, addresses, shards, weights), newer
+// than the current version, and must not remove more nodes than the rules allow.
 #pragma once
 
 #include <map>
@@ -14,47 +15,53 @@
 
 namespace martencove::membership {
 
-/// Bounds and times by which versions are judged.
+/// Limits that offered versions must meet.
 struct MembershipRules {
-    double removalDrainMs = 30'000;  ///< a node that no version names drains for so long before it is gone
-    double maxLostFraction = 0.25;   ///< of the serving nodes: may be lost within departMs; one always may
-    double maxWeightRatio = 1000;    ///< largest over smallest weight above 0 of one shard's holders
-    double maxClockSkewMs = 5000;    ///< how far in the future a start may lie, for clocks that differ
-    int shardCount = 0;              ///< shards are numbered below this; 0: any number
-    std::size_t maxNodes = 100'000;  ///< in one version
-    std::size_t maxReportedProblems = 20;  ///< told of one version, the rest is counted
+    double removalDrainMs = 30'000;  ///< how long a node that is no longer listed drains
+    double maxLostFraction = 0.25;   ///< of serving nodes, per removalDrainMs; losing one is always allowed
+    double maxWeightRatio = 1000;    ///< largest to smallest nonzero weight within a shard
+    double maxClockSkewMs = 5000;    ///< how far boot times may lie in the future, as clocks differ
+    int shardCount = 0;              ///< shard numbers are below this; 0: no limit
+    std::size_t maxNodes = 100'000;  ///< per version
+    std::size_t maxReportedProblems = 20;  ///< per version; further problems are only counted
 };
 
+/// The outcome of an offered version. Only `accepted` changes the current membership.
 enum class OfferOutcome {
-    accepted,    ///< in force now
-    unchanged,   ///< what is in force already
-    incomplete,  ///< not (yet) a whole version: what is in force stays
-    refused      ///< not fit: what is in force stays
+    accepted,    ///< now current
+    unchanged,   ///< already current
+    incomplete,  ///< not a complete version, at least not yet
+    refused      ///< not acceptable
 };
+
+/// The answer to an offered version.
 struct OfferResult {
     OfferOutcome outcome = OfferOutcome::unchanged;
-    std::uint64_t version = 0;       ///< that was offered; 0: not known
-    std::vector<Problem> problems;   ///< why not
-    std::vector<std::string> notes;  ///< of an accepted one: what an operator should hear
+    std::uint64_t version = 0;       ///< the offered version; 0: unknown
+    std::vector<Problem> problems;   ///< why the version was not accepted
+    std::vector<std::string> notes;  ///< warnings for the operator about an accepted version
 };
 
+/// Holds the current membership and replaces it when a newer acceptable version is offered. Times are Unix
+/// time in ms.
 class MembershipManager {
 public:
     explicit MembershipManager(MembershipRules rules) : rules_(rules) {}
 
-    /// Takes what was kept from an earlier run as the version in force. Nodes that were leaving are gone:
-    /// this process has nothing out to them.
+    /// Makes a membership saved by an earlier run current. Nodes that were leaving are dropped, because this
+    /// process has no outstanding work on them.
     void restore(Membership kept, double nowMs);
 
-    /// Judges the files as they were last read, all of them.
+    /// Offers the version that the files form together. `drafts` must hold all files as last read.
     [[nodiscard]] OfferResult offerVersion(const std::vector<ParsedNodeFile>& drafts, double nowMs);
 
-    /// Lets nodes go whose departure is over. True: there is a new membership, of the same version.
+    /// Removes leaving nodes whose drain time has passed. Returns whether this replaced the current
+    /// membership; the version stays the same.
     [[nodiscard]] bool removeDeparted(double nowMs);
-    /// When depart() has something to do next; infinity: nothing leaves.
+    /// Returns when removeDeparted() next has a node to remove; infinity if no node is leaving.
     [[nodiscard]] double nextRemovalMs() const;
 
-    /// The membership in force; null before the first.
+    /// Returns the current membership; null before the first version.
     [[nodiscard]] const MembershipPtr& current() const { return current_; }
 
 private:
@@ -62,17 +69,19 @@
         Member member;
         double removeAtMs = 0;
     };
-    /// Serving nodes that were lost a moment ago and do not serve again among `named`.
+    /// Returns how many nodes stopped serving within the last removalDrainMs and do not serve in `named`.
     [[nodiscard]] std::size_t countRecentlyLost(const std::vector<Member>& named, double nowMs) const;
+    /// Returns the nodes of all parts sorted by name, each with its boot time as far as known.
     [[nodiscard]] std::vector<Member> mergeParts(const std::vector<const ParsedNodeFile*>& parts,
                                                  double nowMs) const;
+    /// Makes `named` current, together with the nodes that are still leaving.
     void activate(std::uint64_t version, std::string digest, std::vector<Member> named, double nowMs);
 
     MembershipRules rules_;
     MembershipPtr current_;
-    std::map<std::string, LeavingMember> leaving_;  // by name; all are in inForce_ too
-    // When nodes ceased to serve, by name, for departMs: the guard on the fleet looks at what was lost in
-    // that time, so that many small versions take away no more than a large one. At most one entry a node.
+    std::map<std::string, LeavingMember> leaving_;  // by name; all are in current_ too
+    // When nodes stopped serving, by name, kept for removalDrainMs. The limit on lost nodes applies to that
+    // period, so that many small versions remove no more than one large version. One entry per node at most.
     std::map<std::string, double> lostAtMs_;
 };
 
--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -10,13 +10,13 @@
     if (at == nodesById_.end()) return true;
     const NodeReport& known = at->second.report;
     const bool later = version > at->second.version;
-    // Of one version the leaving counts, in whatever order its entries stand, unless the other is a later
-    // start.
+    // Within a version, a report of leaving takes precedence over a ready one whatever their order, unless
+    // the ready one has a later boot time.
     if (told.state == ReportedState::ready)
         return known.state == ReportedState::ready ? later || told.bootTimeMs >= known.bootTimeMs
                                                    : later || told.bootTimeMs > known.bootTimeMs;
-    // One that is gone is not made to drain by an older list. What was said of a former start says nothing of
-    // this one.
+    // An older list does not change a gone node to draining. Reports with an earlier boot time concern a
+    // former process of the node and are ignored unless their version is newer.
     if (known.state == ReportedState::gone && told.state == ReportedState::draining && !later) return false;
     return later || told.bootTimeMs >= known.bootTimeMs;
 }
@@ -33,8 +33,9 @@
         KnownNode& known = at->second;
         if (!fresh && known.report.state == ReportedState::gone) --goneCount_;
         if (told.state == ReportedState::gone) ++goneCount_;
-        // What an older list takes from a server that was ready, any list that is newer than that one may
-        // give back; what was told of one that leaves already stays as new as it was.
+        // If an older list makes a ready node leave, the node takes that list's version, so that any list
+        // newer than that one can make it ready again. A node that was already leaving keeps its newest
+        // version.
         const bool wasReady = fresh || known.report.state == ReportedState::ready;
         const bool leaves = told.state != ReportedState::ready;
         const std::int64_t version =
@@ -49,7 +50,8 @@
         for (const NodeReport& told : list.nodes) named.insert(told.id);
         for (auto& [id, known] : nodesById_) {
             if (known.report.state == ReportedState::gone || named.contains(id)) continue;
-            // One that was ready may have come since an older list: it is out until a newer one names it.
+            // A ready node may have been added after this list was made: it is gone until a newer list names
+            // it.
             const bool wasReady = known.report.state == ReportedState::ready;
             known.report.state = ReportedState::gone;
             known.version = wasReady ? list.version : std::max(known.version, list.version);
@@ -68,7 +70,7 @@
         if (known.report.state == ReportedState::gone) gone.emplace_back(known.version, id);
     }
     std::sort(gone.begin(), gone.end());
-    // A half at once: the next entries cost nothing.
+    // Evicts down to half of the limit, so that the cost of sorting is spread over many reports.
     gone.resize(gone.size() - maxGone_ / 2);
     for (const auto& [version, id] : gone) nodesById_.erase(id);
     goneCount_ -= gone.size();
--- a/src/roster/roster.h
+++ b/src/roster/roster.h
@@ -1,10 +1,10 @@
-// Which servers may get work, as far as lists of them have told. Decides only: lists are handed in, no I/O,
-// no clock.
+// Merges reported lists of nodes into the state of each node, which determines the nodes that may get work.
+// Does no I/O and reads no clock: callers pass the lists.
 //
-// Lists come late, cut, out of order and from more than one place (the agent that a reload moves away from
-// and the one it moves to). The rule on drains asks for one direction: word of a server's leaving holds from
-// the moment it can be read, and only something newer takes it back, which is a later start of that server or
-// a later version that calls it ready. An older list never does.
+// Lists may arrive late, truncated, out of order and from more than one sender: during a reload both the old
+// and the new discovery agent report. The rule for drains is one-directional: a report that a node is leaving
+// takes effect as soon as it can be read, and only newer information reverts it, either a later start of the
+// node or a later version that reports it ready. An older list never reverts it.
 #pragma once
 
 #include <cstddef>
@@ -16,46 +16,54 @@
 
 enum class ReportedState { ready, draining, gone };
 
-/// One entry of a list.
+/// An entry of a reported list.
 struct NodeReport {
     std::uint64_t id = 0;
     ReportedState state = ReportedState::ready;
-    double bootTimeMs = 0;  ///< Unix time of its last start; 0: long ago
+    double bootTimeMs = 0;  ///< Unix time of the last start, in ms; 0: long ago or unknown
     int shard = 0;
 };
 
+/// A version of the node list, or an update to one, as a sender reports it.
 struct ReportedList {
     std::int64_t version = 0;
-    bool isSnapshot = false;  ///< names every server: one that it leaves out is gone
+    bool isSnapshot = false;  ///< lists every node: a node that it omits is gone
     std::vector<NodeReport> nodes;
-    std::vector<std::uint64_t> unreadableIds;  ///< named, but what is told of them cannot be read: they stay
+    std::vector<std::uint64_t>
+        unreadableIds;  ///< listed with unreadable entries: these nodes stay as they are
 };
 
-/// What a list changes.
+/// The changes that a merged list makes.
 struct MergeResult {
-    std::vector<std::size_t> appliedIndexes;  ///< entries of the list that count, in order
-    std::vector<NodeReport> removed;          ///< servers that a whole list leaves out: gone
-    std::size_t staleCount = 0;               ///< entries passed over: something newer is known
+    std::vector<std::size_t> appliedIndexes;  ///< indexes of the list's entries that took effect, ascending
+    std::vector<NodeReport> removed;          ///< nodes that are gone because a snapshot omits them
+    std::size_t staleCount = 0;               ///< entries ignored because newer information is known
 };
 
+/// The last known state of each node. Gone nodes are remembered, so that an older list cannot revive them.
 class Roster {
 public:
-    /// Of servers that are gone at most `mostGone` are remembered, those told last.
+    /// At most `mostGone` gone nodes are remembered: those reported by the newest versions.
     explicit Roster(std::size_t mostGone) : maxGone_(mostGone) {}
 
+    /// Applies the entries of `list` that are not older than what is known. A snapshot also removes the nodes
+    /// that it omits.
     [[nodiscard]] MergeResult merge(const ReportedList& list);
+    /// Returns the number of nodes known, including gone nodes.
     [[nodiscard]] std::size_t size() const { return nodesById_.size(); }
 
 private:
     struct KnownNode {
         NodeReport report;
-        std::int64_t version = 0;  // of the list that told it
+        std::int64_t version = 0;  // version of the list that the report came from
     };
+    /// Returns whether a report from a list of that version takes precedence over what is known of the node.
     [[nodiscard]] bool supersedesKnown(const NodeReport& told, std::int64_t version) const;
+    /// Forgets the oldest gone nodes if there are more than maxGone_.
     void evictOldestGone();
 
     std::size_t maxGone_;
-    std::size_t goneCount_ = 0;  // of known_
+    std::size_t goneCount_ = 0;  // number of gone nodes in nodesById_
     std::unordered_map<std::uint64_t, KnownNode> nodesById_;
 };
 
--- a/src/shutdown/schedule.cpp
+++ b/src/shutdown/schedule.cpp
@@ -6,8 +6,8 @@
 
 ShutdownSchedule ShutdownSchedule::forLongestDeadline(double deadlineMs) {
     ShutdownSchedule steps;
-    // From the end to the beginning, since the end is fixed. With a very short deadline the first steps fall
-    // together at 0: whatever comes then is refused at once, for which a connection still has to be accepted.
+    // Computed backwards from SIGKILL, which is fixed. With a very short deadline the first steps are all 0:
+    // requests are then refused at once, for which connections still have to be accepted.
     const auto before = [](double stepMs, double spanMs) { return std::max(0.0, stepMs - spanMs); };
     steps.earliestSigkillMs =
         std::min(deadlineMs, kMaxCountedDeadlineMs) + kSigkillMarginMs - kMaxSignalDelayMs;
--- a/src/shutdown/schedule.h
+++ b/src/shutdown/schedule.h
@@ -1,16 +1,17 @@
-// Divides the time between SIGTERM and the earliest SIGKILL. Decides only: no I/O, clock or thread.
+// Divides the time between SIGTERM and the earliest SIGKILL into the steps of a shutdown. Computes times
+// only: no I/O, clock or threads.
 //
-// The platform sends SIGKILL no sooner than the longest deadline of the settings, of which at most 3 s count,
-// and 0.7 s more after SIGTERM. The process may be held up for 0.15 s between reading its clock and acting on
-// it, at any one step, and sees the signal that much late too. At the worst this passes, in this order:
+// The platform sends SIGKILL no sooner than min(longest configured deadline, 3 s) + 0.7 s after SIGTERM. The
+// process may stall for 0.15 s between reading its clock and acting on it, at any one step, and may see the
+// signal late by as much. In the worst case the steps are, in this order:
 //
-//     signal seen         a stall and a turn of the event loop after it was sent; all steps count from here
-//     accept              new connections keep coming for 0.4 s
-//     partial requests    then have a while to become whole
-//     first attempts      a stall until the attempt leaves, and another until its answer is passed on
-//     further attempts    a stall until the attempt leaves
-//     final answers       decided by then; a stall and a turn until they are handed to the kernel
-//     exit                after one more turn of the loop; the bytes' way out
+//     signal seen         one stall and one event loop turn after SIGTERM; all steps are counted from here
+//     accept              new connections are accepted for 0.4 s
+//     partial requests    may be completed for some time after that
+//     first attempts      allow for a stall before the attempt is sent and another before its answer is sent
+//     further attempts    allow for a stall before the attempt is sent
+//     final answers       are decided; a stall and a loop turn may pass until the kernel has them
+//     exit                one loop turn later; then the data travels to the client
 //     SIGKILL
 #pragma once
 
@@ -19,59 +20,61 @@
 
 namespace martencove {
 
-/// The steps of a shutdown, in ms: spans from the turn of the event loop that saw the signal, or the moments
-/// of the program's clock that startingAt() makes of them. The first two are no later than the answers, and
-/// from the first attempts on each step is no later than the next one.
+/// The steps of a shutdown, in ms: either durations since the event loop turn that saw the signal, or times
+/// of the program's clock, which startingAt() computes from them. The first two steps are no later than
+/// `answerByMs`; from `firstAttemptUntilMs` on, no step is later than the next one.
 struct ShutdownSchedule {
-    double acceptUntilMs = std::numeric_limits<double>::infinity();  ///< the listeners stay open
-    /// A request that has come in part by then is refused.
+    double acceptUntilMs = std::numeric_limits<double>::infinity();  ///< listeners stay open
+    /// A request that is still incomplete is refused.
     double partialRequestUntilMs = std::numeric_limits<double>::infinity();
-    /// A request may be sent to a server for the first time; one read later is refused.
+    /// The first attempt of a request may be sent to a node; a request read later is refused.
     double firstAttemptUntilMs = std::numeric_limits<double>::infinity();
-    /// A retry or hedge may begin, and any attempt's last byte may leave.
+    /// A retry or hedge may start, and the last byte of any attempt may be sent.
     double furtherAttemptUntilMs = std::numeric_limits<double>::infinity();
-    /// Every open request gets its final answer.
+    /// Every open request has its final answer.
     double answerByMs = std::numeric_limits<double>::infinity();
-    /// The process ends a turn of the loop later, whatever is left.
+    /// The process exits one event loop turn later, whether or not work is left.
     double exitByMs = std::numeric_limits<double>::infinity();
-    /// The earliest SIGKILL, where the signal was seen as late as the schedule allows for.
+    /// The earliest SIGKILL if the signal was seen kMaxSignalDelayMs late.
     double earliestSigkillMs = std::numeric_limits<double>::infinity();
 
-    /// The steps of a shutdown whose settings have this longest deadline, as spans.
+    /// Returns the steps, as durations, for settings with this longest deadline in ms.
     [[nodiscard]] static ShutdownSchedule forLongestDeadline(double deadlineMs);
-    /// The same steps as moments, where the signal was seen at `nowMs`.
+    /// Converts durations to times, for a signal seen at `nowMs`.
     [[nodiscard]] ShutdownSchedule startingAt(double nowMs) const;
-    /// Of each step the earlier moment.
+    /// Returns the earlier of the two times for each step.
     [[nodiscard]] ShutdownSchedule earlierOf(const ShutdownSchedule& other) const;
 
-    /// The longest hold-up between reading the clock and acting on it, as the standing test gives it.
+    /// The longest stall between reading the clock and acting on it, as the system test defines it.
     static constexpr double kMaxStallMs = 150;
-    /// One turn of the event loop.
+    /// The longest event loop turn without a stall.
     static constexpr double kLoopTurnMs = 20;
-    /// From SIGTERM to the turn that sees it.
+    /// The time from SIGTERM to the event loop turn that sees it.
     static constexpr double kMaxSignalDelayMs = kMaxStallMs + kLoopTurnMs;
-    /// From the kernel here to the client.
+    /// The time that data takes from the local kernel to the client.
     static constexpr double kMaxDeliveryMs = 50;
-    /// What the protocol gives beyond the longest deadline, and the part of that which counts.
+    /// The time that the protocol grants beyond the longest deadline.
     static constexpr double kSigkillMarginMs = 700;
+    /// The longest deadline that the protocol takes into account.
     static constexpr double kMaxCountedDeadlineMs = 3000;
-    /// New connections come for 0.4 s after SIGTERM, and 50 ms count for their way.
+    /// New connections arrive for 400 ms after SIGTERM; 50 ms are added for their travel time.
     static constexpr double kAcceptWindowMs = 450;
-    /// After the listeners' close, for a request that has come in part.
+    /// The time for a partly received request to complete after the listeners close.
     static constexpr double kPartialRequestWindowMs = 1000;
 };
 
-/// The longest deadline by which a shutdown counts, while configurations change. Whoever sends SIGKILL may
-/// still count by the settings before the last change: a shorter one counts at once, a longer one after a
-/// while.
+/// The longest configured deadline that a shutdown may rely on while the configuration changes. The sender of
+/// SIGKILL may still use the previous settings, so a shorter deadline takes effect at once and a longer one
+/// after kIncreaseDelayMs. Times are in ms.
 class LongestDeadline {
 public:
     explicit LongestDeadline(double deadlineMs) : effectiveMs_(deadlineMs) {}
-    /// The settings' longest deadline is another one since `nowMs`.
+    /// Sets the longest deadline of the settings that apply since `nowMs`.
     void update(double nowMs, double deadlineMs);
+    /// Returns the longest deadline that applies at `nowMs`.
     [[nodiscard]] double deadlineMsAt(double nowMs) const;
 
-    /// The protocol counts what a new configuration tells after this time.
+    /// The protocol relies on a new configuration after this time.
     static constexpr double kIncreaseDelayMs = 4000;
 
 private:
@@ -80,7 +83,7 @@
         double deadlineMs;
     };
     double effectiveMs_;
-    std::optional<PendingIncrease> pendingIncrease_;  ///< told, and not counted yet
+    std::optional<PendingIncrease> pendingIncrease_;  ///< not in effect yet
 };
 
 }  // namespace martencove
--- a/tests/membership/membership_manager_test.cpp
+++ b/tests/membership/membership_manager_test.cpp
@@ -180,7 +180,7 @@
                   f.members[0].hasBootTime = true;
               }),
               "future"));
-    CHECK(has(reason([](Fleet& f) { f.members.clear(); }), "without any node"));
+    CHECK(has(reason([](Fleet& f) { f.members.clear(); }), "has no nodes"));
     CHECK(has(reason([](Fleet&) {}, MembershipRules{.maxNodes = 3}), "at most 3"));
     MembershipManager gate{MembershipRules{.maxReportedProblems = 3}};
     Fleet bad = Fleet().of(10);
