--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,30 +8,33 @@
 namespace martencove::membership {
 namespace {
 
-TargetState stepOf(const Member& m) {
+TargetState targetStateOf(const Member& m) {
     return m.state == MemberState::ready && !m.leaving ? TargetState::ready : TargetState::draining;
 }
 
-std::string figure(double value) {
+std::string formatNumber(double value) {
     char text[32];
     std::snprintf(text, sizeof text, "%g", value);
     return text;
 }
 
-/// Walks two member lists sorted by name and calls exactly one of `gone`, `came` and `stayed` for each name.
-template <typename Gone, typename Came, typename Stayed>
-void compare(const Membership* before, const Membership& after, Gone gone, Came came, Stayed stayed) {
+/// Walks two member lists sorted by name and calls exactly one of `onRemoved`, `onAdded` and `onKept` for
+/// each name.
+template <typename OnRemoved, typename OnAdded, typename OnKept>
+void compareByName(const Membership* before, const Membership& after, OnRemoved onRemoved, OnAdded onAdded,
+                   OnKept onKept) {
     static const std::vector<Member> none;
-    const std::vector<Member>& old = before == nullptr ? none : before->members;
-    auto a = old.begin();
-    auto b = after.members.begin();
-    while (a != old.end() || b != after.members.end()) {
-        if (b == after.members.end() || (a != old.end() && a->name < b->name))
-            gone(*a++);
-        else if (a == old.end() || b->name < a->name)
-            came(*b++);
+    const std::vector<Member>& oldMembers = before == nullptr ? none : before->members;
+    auto oldMember = oldMembers.begin();
+    auto newMember = after.members.begin();
+    while (oldMember != oldMembers.end() || newMember != after.members.end()) {
+        if (newMember == after.members.end() ||
+            (oldMember != oldMembers.end() && oldMember->name < newMember->name))
+            onRemoved(*oldMember++);
+        else if (oldMember == oldMembers.end() || newMember->name < oldMember->name)
+            onAdded(*newMember++);
         else
-            stayed(*a++, *b++);
+            onKept(*oldMember++, *newMember++);
     }
 }
 
@@ -44,49 +47,50 @@
     return (out.empty() ? "" : out + ": ") + reason;
 }
 
-const Member* findMember(const std::vector<Member>& byName, const std::string& name) {
-    const auto at = std::lower_bound(byName.begin(), byName.end(), name,
-                                     [](const Member& m, const std::string& n) { return m.name < n; });
-    return at != byName.end() && at->name == name ? &*at : nullptr;
+const Member* findMember(const std::vector<Member>& sortedMembers, const std::string& name) {
+    const auto it =
+        std::lower_bound(sortedMembers.begin(), sortedMembers.end(), name,
+                         [](const Member& m, const std::string& wantedName) { return m.name < wantedName; });
+    return it != sortedMembers.end() && it->name == name ? &*it : nullptr;
 }
 
-bool hasServingMember(const std::vector<Member>& byName, const std::string& name) {
-    const Member* m = findMember(byName, name);
-    return m != nullptr && m->serving();
+bool hasServingMember(const std::vector<Member>& sortedMembers, const std::string& name) {
+    const Member* member = findMember(sortedMembers, name);
+    return member != nullptr && member->serving();
 }
 
 std::vector<MemberChange> diffMemberships(const Membership* before, const Membership& after) {
-    std::vector<MemberChange> out;
-    compare(
+    std::vector<MemberChange> changes;
+    compareByName(
         before, after,
         [&](const Member& m) {
-            out.push_back({m, TargetState::gone});
+            changes.push_back({m, TargetState::gone});
         },
         [&](const Member& m) {
-            out.push_back({m, stepOf(m)});
+            changes.push_back({m, targetStateOf(m)});
         },
         [&](const Member& a, const Member& b) {
-            if (!(a == b)) out.push_back({b, stepOf(b)});
+            if (!(a == b)) changes.push_back({b, targetStateOf(b)});
         });
     // A shard's changes are adjacent, so that a caller that applies the changes in slices can apply those of
     // a shard together. Shards that lose a node come first, because new work for that node must stop in time.
-    std::unordered_set<int> urgent;
-    for (const MemberChange& c : out) {
-        if (c.targetState != TargetState::ready) urgent.insert(c.member.shard);
+    std::unordered_set<int> shardsLosingNodes;
+    for (const MemberChange& change : changes) {
+        if (change.targetState != TargetState::ready) shardsLosingNodes.insert(change.member.shard);
     }
-    std::stable_sort(out.begin(), out.end(), [&](const MemberChange& a, const MemberChange& b) {
-        return std::tuple(!urgent.contains(a.member.shard), a.member.shard) <
-               std::tuple(!urgent.contains(b.member.shard), b.member.shard);
+    std::stable_sort(changes.begin(), changes.end(), [&](const MemberChange& a, const MemberChange& b) {
+        return std::tuple(!shardsLosingNodes.contains(a.member.shard), a.member.shard) <
+               std::tuple(!shardsLosingNodes.contains(b.member.shard), b.member.shard);
     });
-    return out;
+    return changes;
 }
 
 std::vector<std::string> describeChanges(const Membership* before, const Membership& after) {
-    std::vector<std::string> out;
-    std::size_t came = 0, left = 0, changed = 0, same = 0;
-    const auto line = [](const Member& m) {
+    std::vector<std::string> lines;
+    std::size_t added = 0, removed = 0, changed = 0, unchanged = 0;
+    const auto describeMember = [](const Member& m) {
         std::string text = m.name + " at " + m.address + ", shard " + std::to_string(m.shard) + ", weight " +
-                           figure(m.weight);
+                           formatNumber(m.weight);
         if (!m.rack.empty()) text += ", rack " + m.rack;
         if (m.leaving)
             text += ", leaving";
@@ -94,30 +98,34 @@
             text += ", draining";
         return text;
     };
-    compare(
-        before, after, [&](const Member& m) { ++left, out.push_back("- " + line(m)); },
-        [&](const Member& m) { ++came, out.push_back("+ " + line(m)); },
+    compareByName(
+        before, after, [&](const Member& m) { ++removed, lines.push_back("- " + describeMember(m)); },
+        [&](const Member& m) { ++added, lines.push_back("+ " + describeMember(m)); },
         [&](const Member& a, const Member& b) {
-            std::string what;
-            const auto differ = [&](const char* field, const std::string& x, const std::string& y) {
-                if (x != y) what += std::string(what.empty() ? " " : ", ") + field + ' ' + x + " -> " + y;
+            std::string differences;
+            const auto addDifference = [&](const char* field, const std::string& from,
+                                           const std::string& to) {
+                if (from != to)
+                    differences +=
+                        std::string(differences.empty() ? " " : ", ") + field + ' ' + from + " -> " + to;
             };
-            const auto state = [](const Member& m) {
+            const auto stateName = [](const Member& m) {
                 return m.leaving ? "leaving" : m.state == MemberState::ready ? "ready" : "draining";
             };
-            differ("address", a.address, b.address);
-            differ("shard", std::to_string(a.shard), std::to_string(b.shard));
-            differ("weight", figure(a.weight), figure(b.weight));
-            differ("rack", a.rack, b.rack);
-            differ("state", state(a), state(b));
-            if (a.bootTimeMs != b.bootTimeMs) what += what.empty() ? " restarted" : ", restarted";
-            if (what.empty()) return void(++same);
+            addDifference("address", a.address, b.address);
+            addDifference("shard", std::to_string(a.shard), std::to_string(b.shard));
+            addDifference("weight", formatNumber(a.weight), formatNumber(b.weight));
+            addDifference("rack", a.rack, b.rack);
+            addDifference("state", stateName(a), stateName(b));
+            if (a.bootTimeMs != b.bootTimeMs)
+                differences += differences.empty() ? " restarted" : ", restarted";
+            if (differences.empty()) return void(++unchanged);
             ++changed;
-            out.push_back("~ " + a.name + what);
+            lines.push_back("~ " + a.name + differences);
         });
-    out.push_back(std::to_string(came) + " added, " + std::to_string(left) + " removed, " +
-                  std::to_string(changed) + " changed, " + std::to_string(same) + " unchanged");
-    return out;
+    lines.push_back(std::to_string(added) + " added, " + std::to_string(removed) + " removed, " +
+                    std::to_string(changed) + " changed, " + std::to_string(unchanged) + " unchanged");
+    return lines;
 }
 
 }  // namespace martencove::membership
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -47,8 +47,8 @@
     std::string reason;
     Severity severity = Severity::refused;
 
-    Problem(SourceLocation where, std::string why, Severity how = Severity::refused)
-        : location(std::move(where)), reason(std::move(why)), severity(how) {}
+    Problem(SourceLocation where, std::string why, Severity level = Severity::refused)
+        : location(std::move(where)), reason(std::move(why)), severity(level) {}
     /// Returns "FILE:LINE:COLUMN: REASON", without the parts of the location that are unknown.
     [[nodiscard]] std::string text() const;
 };
@@ -93,9 +93,9 @@
 };
 
 /// Returns the member with that name from a list sorted by name, or null.
-[[nodiscard]] const Member* findMember(const std::vector<Member>& byName, const std::string& name);
+[[nodiscard]] const Member* findMember(const std::vector<Member>& sortedMembers, const std::string& name);
 /// Returns whether a list sorted by name has a member with that name that serves.
-[[nodiscard]] bool hasServingMember(const std::vector<Member>& byName, const std::string& name);
+[[nodiscard]] bool hasServingMember(const std::vector<Member>& sortedMembers, const std::string& name);
 
 using MembershipPtr = std::shared_ptr<const Membership>;
 
--- a/src/membership/membership_manager.h
+++ b/src/membership/membership_manager.h
@@ -50,10 +50,10 @@
 
     /// Makes a membership saved by an earlier run current. Nodes that were leaving are dropped, because this
     /// process has no outstanding work on them.
-    void restore(Membership kept, double nowMs);
+    void restore(Membership saved, double nowMs);
 
-    /// Offers the version that the files form together. `drafts` must hold all files as last read.
-    [[nodiscard]] OfferResult offerVersion(const std::vector<ParsedNodeFile>& drafts, double nowMs);
+    /// Offers the version that the files form together. `nodeFiles` must hold all files as last read.
+    [[nodiscard]] OfferResult offerVersion(const std::vector<ParsedNodeFile>& nodeFiles, double nowMs);
 
     /// Removes leaving nodes whose drain time has passed. Returns whether this replaced the current
     /// membership; the version stays the same.
@@ -69,13 +69,13 @@
         Member member;
         double removeAtMs = 0;
     };
-    /// Returns how many nodes stopped serving within the last removalDrainMs and do not serve in `named`.
-    [[nodiscard]] std::size_t countRecentlyLost(const std::vector<Member>& named, double nowMs) const;
+    /// Returns how many nodes stopped serving within the last removalDrainMs and do not serve in `listed`.
+    [[nodiscard]] std::size_t countRecentlyLost(const std::vector<Member>& listed, double nowMs) const;
     /// Returns the nodes of all parts sorted by name, each with its boot time as far as known.
     [[nodiscard]] std::vector<Member> mergeParts(const std::vector<const ParsedNodeFile*>& parts,
                                                  double nowMs) const;
-    /// Makes `named` current, together with the nodes that are still leaving.
-    void activate(std::uint64_t version, std::string digest, std::vector<Member> named, double nowMs);
+    /// Makes `members` current, together with the nodes that are still leaving.
+    void activate(std::uint64_t version, std::string digest, std::vector<Member> members, double nowMs);
 
     MembershipRules rules_;
     MembershipPtr current_;
--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -5,62 +5,63 @@
 
 namespace martencove::roster {
 
-bool Roster::supersedesKnown(const NodeReport& told, std::int64_t version) const {
-    const auto at = nodesById_.find(told.id);
-    if (at == nodesById_.end()) return true;
-    const NodeReport& known = at->second.report;
-    const bool later = version > at->second.version;
+bool Roster::supersedesKnown(const NodeReport& report, std::int64_t version) const {
+    const auto it = nodesById_.find(report.id);
+    if (it == nodesById_.end()) return true;
+    const NodeReport& known = it->second.report;
+    const bool isNewerVersion = version > it->second.version;
     // Within a version, a report of leaving takes precedence over a ready one whatever their order, unless
     // the ready one has a later boot time.
-    if (told.state == ReportedState::ready)
-        return known.state == ReportedState::ready ? later || told.bootTimeMs >= known.bootTimeMs
-                                                   : later || told.bootTimeMs > known.bootTimeMs;
+    if (report.state == ReportedState::ready)
+        return known.state == ReportedState::ready ? isNewerVersion || report.bootTimeMs >= known.bootTimeMs
+                                                   : isNewerVersion || report.bootTimeMs > known.bootTimeMs;
     // An older list does not change a gone node to draining. Reports with an earlier boot time concern a
     // former process of the node and are ignored unless their version is newer.
-    if (known.state == ReportedState::gone && told.state == ReportedState::draining && !later) return false;
-    return later || told.bootTimeMs >= known.bootTimeMs;
+    if (known.state == ReportedState::gone && report.state == ReportedState::draining && !isNewerVersion)
+        return false;
+    return isNewerVersion || report.bootTimeMs >= known.bootTimeMs;
 }
 
 MergeResult Roster::merge(const ReportedList& list) {
-    MergeResult out;
+    MergeResult result;
     for (std::size_t i = 0; i < list.nodes.size(); ++i) {
-        const NodeReport& told = list.nodes[i];
-        if (!supersedesKnown(told, list.version)) {
-            ++out.staleCount;
+        const NodeReport& report = list.nodes[i];
+        if (!supersedesKnown(report, list.version)) {
+            ++result.staleCount;
             continue;
         }
-        const auto [at, fresh] = nodesById_.try_emplace(told.id);
-        KnownNode& known = at->second;
-        if (!fresh && known.report.state == ReportedState::gone) --goneCount_;
-        if (told.state == ReportedState::gone) ++goneCount_;
+        const auto [it, inserted] = nodesById_.try_emplace(report.id);
+        KnownNode& known = it->second;
+        if (!inserted && known.report.state == ReportedState::gone) --goneCount_;
+        if (report.state == ReportedState::gone) ++goneCount_;
         // If an older list makes a ready node leave, the node takes that list's version, so that any list
         // newer than that one can make it ready again. A node that was already leaving keeps its newest
         // version.
-        const bool wasReady = fresh || known.report.state == ReportedState::ready;
-        const bool leaves = told.state != ReportedState::ready;
+        const bool wasReady = inserted || known.report.state == ReportedState::ready;
+        const bool isLeaving = report.state != ReportedState::ready;
         const std::int64_t version =
-            wasReady && leaves ? list.version : std::max(known.version, list.version);
-        const double bornMs = std::max(known.report.bootTimeMs, told.bootTimeMs);
-        known = {told, fresh ? list.version : version};
-        known.report.bootTimeMs = bornMs;
-        out.appliedIndexes.push_back(i);
+            wasReady && isLeaving ? list.version : std::max(known.version, list.version);
+        const double bootTimeMs = std::max(known.report.bootTimeMs, report.bootTimeMs);
+        known = {report, inserted ? list.version : version};
+        known.report.bootTimeMs = bootTimeMs;
+        result.appliedIndexes.push_back(i);
     }
     if (list.isSnapshot) {
-        std::unordered_set<std::uint64_t> named(list.unreadableIds.begin(), list.unreadableIds.end());
-        for (const NodeReport& told : list.nodes) named.insert(told.id);
+        std::unordered_set<std::uint64_t> listedIds(list.unreadableIds.begin(), list.unreadableIds.end());
+        for (const NodeReport& report : list.nodes) listedIds.insert(report.id);
         for (auto& [id, known] : nodesById_) {
-            if (known.report.state == ReportedState::gone || named.contains(id)) continue;
+            if (known.report.state == ReportedState::gone || listedIds.contains(id)) continue;
             // A ready node may have been added after this list was made: it is gone until a newer list names
             // it.
             const bool wasReady = known.report.state == ReportedState::ready;
             known.report.state = ReportedState::gone;
             known.version = wasReady ? list.version : std::max(known.version, list.version);
             ++goneCount_;
-            out.removed.push_back(known.report);
+            result.removed.push_back(known.report);
         }
     }
     evictOldestGone();
-    return out;
+    return result;
 }
 
 void Roster::evictOldestGone() {
--- a/src/roster/roster.h
+++ b/src/roster/roster.h
@@ -43,8 +43,8 @@
 /// The last known state of each node. Gone nodes are remembered, so that an older list cannot revive them.
 class Roster {
 public:
-    /// At most `mostGone` gone nodes are remembered: those reported by the newest versions.
-    explicit Roster(std::size_t mostGone) : maxGone_(mostGone) {}
+    /// At most `maxGone` gone nodes are remembered: those reported by the newest versions.
+    explicit Roster(std::size_t maxGone) : maxGone_(maxGone) {}
 
     /// Applies the entries of `list` that are not older than what is known. A snapshot also removes the nodes
     /// that it omits.
@@ -58,7 +58,7 @@
         std::int64_t version = 0;  // version of the list that the report came from
     };
     /// Returns whether a report from a list of that version takes precedence over what is known of the node.
-    [[nodiscard]] bool supersedesKnown(const NodeReport& told, std::int64_t version) const;
+    [[nodiscard]] bool supersedesKnown(const NodeReport& report, std::int64_t version) const;
     /// Forgets the oldest gone nodes if there are more than maxGone_.
     void evictOldestGone();
 
