--- a/tests/membership/membership_manager_test.cpp
+++ b/tests/membership/membership_manager_test.cpp
@@ -1,4 +1,4 @@
-// Which versions of the node list come into force. No files, no clock.
+// Tests which versions of the node list MembershipManager accepts, with constructed files and times.
 #include "membership/membership_manager.h"
 
 #include <doctest/doctest.h>
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-TEST_CASE("a first version comes into force, the same again changes nothing") {
+TEST_CASE("the first version is accepted, offering it again changes nothing") {
     MembershipManager gate{MembershipRules{}};
     CHECK(gate.current() == nullptr);
     const Fleet fleet = Fleet().of(4);
@@ -69,7 +69,7 @@
     CHECK(gate.current() == held);
 }
 
-TEST_CASE("an older version, or the same with other content, is refused") {
+TEST_CASE("an older version, or the same version with other content, is refused") {
     MembershipManager gate{MembershipRules{}};
     CHECK(gate.offerVersion({draft(3, Fleet().of(4))}, 0).outcome == OfferOutcome::accepted);
     const MembershipPtr held = gate.current();
@@ -84,7 +84,7 @@
     CHECK(gate.current() == held);
 }
 
-TEST_CASE("what shows a half-written file is incomplete, not refused") {
+TEST_CASE("a file that appears half written is incomplete, not refused") {
     MembershipManager gate{MembershipRules{}};
     ParsedNodeFile cut = draft(1, Fleet().of(4));
     cut.declaredCount = 5;
@@ -101,7 +101,7 @@
     CHECK(gate.current() == nullptr);
 }
 
-TEST_CASE("the parts of a version come into force together") {
+TEST_CASE("the parts of a version are accepted together") {
     MembershipManager gate{MembershipRules{}};
     const auto part = [](std::uint64_t version, const std::string& name, const Fleet& fleet) {
         ParsedNodeFile d = draft(version, fleet);
@@ -122,14 +122,14 @@
     CHECK(first(v).find("still at version 1") != std::string::npos);
     CHECK(gate.offerVersion({part(2, "a", a), part(2, "b", b)}, 0).outcome == OfferOutcome::accepted);
 
-    SUBCASE("a name or an address in two files") {
+    SUBCASE("a name or an address is in two files") {
         b.add("a1", 2);
         v = gate.offerVersion({part(3, "a", a), part(3, "b", b)}, 0);
         CHECK(v.outcome == OfferOutcome::refused);
-        CHECK(v.problems.size() == 2);  // its address is one of the other file's too
+        CHECK(v.problems.size() == 2);  // its address is in the other file too
         CHECK(first(v).find("also in nodes-a:4") != std::string::npos);
     }
-    SUBCASE("a part that the version no longer names is left over") {
+    SUBCASE("a part that the version no longer lists is ignored with a note") {
         ParsedNodeFile alone = part(3, "a", a);
         alone.partNames = {"a"};
         alone.members[0].member.weight = 1;
@@ -138,7 +138,7 @@
         CHECK(v.outcome == OfferOutcome::accepted);
         CHECK(v.notes.size() == 1);
     }
-    SUBCASE("two files that say they are the same part") {
+    SUBCASE("two files have the same part name") {
         ParsedNodeFile twin = part(3, "a", a);
         twin.file = "copy";
         CHECK(gate.offerVersion({part(3, "a", a), twin, part(3, "b", b)}, 0).outcome ==
@@ -146,7 +146,7 @@
     }
 }
 
-TEST_CASE("what makes no sense is refused with its place") {
+TEST_CASE("invalid values are refused with their location") {
     const auto reason = [](auto change, MembershipRules rules = MembershipRules{}) {
         MembershipManager gate{rules};
         Fleet fleet = Fleet().of(4, 2);
@@ -190,7 +190,7 @@
     CHECK(v.problems.back().text() == "7 more problems");
 }
 
-TEST_CASE("a version that takes too much away is refused unless it says that it is meant") {
+TEST_CASE("a version that removes too much is refused unless a permit allows it") {
     MembershipManager gate{MembershipRules{}};
     Fleet fleet = Fleet().of(20, 2);
     CHECK(gate.offerVersion({draft(1, fleet)}, 0).outcome == OfferOutcome::accepted);
@@ -223,7 +223,7 @@
         d.permits.push_back({1, {}, {0}, 0});
         CHECK(gate.offerVersion({d}, 2).outcome == OfferOutcome::accepted);
     }
-    SUBCASE("part of the fleet, also in small steps") {
+    SUBCASE("a fraction of the fleet, also in small steps") {
         fleet.without("n0").without("n2").without("n4");
         CHECK(gate.offerVersion({draft(2, fleet)}, 1000).outcome == OfferOutcome::accepted);
         fleet.without("n6").without("n8");
@@ -233,12 +233,12 @@
         CHECK(has(gate.offerVersion({d}, 3000), "6 of 20 nodes"));
         d.permits.push_back({3, {}, {}, 0.3});
         SUBCASE("with a permit") { CHECK(gate.offerVersion({d}, 4000).outcome == OfferOutcome::accepted); }
-        SUBCASE("or once the first have been away for long") {
+        SUBCASE("or once the first nodes were lost more than removalDrainMs ago") {
             d.permits.clear();
             CHECK(gate.offerVersion({d}, 31'001).outcome == OfferOutcome::accepted);
         }
     }
-    SUBCASE("one node of a few may always go") {
+    SUBCASE("one node may always be removed") {
         MembershipManager small{MembershipRules{}};
         Fleet two = Fleet().add("a", 0).add("b", 0);
         CHECK(small.offerVersion({draft(1, two)}, 0).outcome == OfferOutcome::accepted);
@@ -246,7 +246,7 @@
     }
 }
 
-TEST_CASE("a node that is named no more drains, then is gone") {
+TEST_CASE("a node that is no longer listed drains, then is removed") {
     MembershipManager gate{MembershipRules{.removalDrainMs = 5000}};
     Fleet fleet = Fleet().of(8, 2);
     CHECK(gate.offerVersion({draft(1, fleet)}, 0).outcome == OfferOutcome::accepted);
@@ -259,7 +259,7 @@
     CHECK(steps[0].targetState == TargetState::draining);
     CHECK(gate.nextRemovalMs() == 6000);
 
-    SUBCASE("gone at its time, cold when it comes again") {
+    SUBCASE("removed after its drain time, with a new boot time when it is listed again") {
         CHECK(!gate.removeDeparted(5999));
         const MembershipPtr drains = gate.current();
         CHECK(gate.removeDeparted(6000));
@@ -271,19 +271,19 @@
         CHECK(member(gate, "n3")->bootTimeMs == 7000);
         CHECK(member(gate, "n2")->bootTimeMs == 0);
     }
-    SUBCASE("back in between it is the same node") {
+    SUBCASE("listed again while it drains: the same node") {
         CHECK(gate.offerVersion({draft(3, fleet)}, 1500).outcome == OfferOutcome::accepted);
         CHECK(member(gate, "n3")->bootTimeMs == 0);
         CHECK(!member(gate, "n3")->leaving);
         CHECK(std::isinf(gate.nextRemovalMs()));
         CHECK(!gate.removeDeparted(60'000));
     }
-    SUBCASE("another process under its name is a new start") {
+    SUBCASE("listed again at another address: a new boot time") {
         fleet.at("n3").address = "10.9.9.9:80";
         CHECK(gate.offerVersion({draft(3, fleet)}, 1500).outcome == OfferOutcome::accepted);
         CHECK(member(gate, "n3")->bootTimeMs == 1500);
     }
-    SUBCASE("and so is one with a later start told") {
+    SUBCASE("listed again with a later boot time") {
         fleet.at("n3").bootTimeMs = 1400;
         for (ParsedMember& d : fleet.members) d.hasBootTime = d.member.name == "n3";
         CHECK(gate.offerVersion({draft(3, fleet)}, 1500).outcome == OfferOutcome::accepted);
@@ -291,7 +291,7 @@
     }
 }
 
-TEST_CASE("a kept version is the one in force until a newer one comes") {
+TEST_CASE("a restored version is current until a newer one is accepted") {
     MembershipManager gate{MembershipRules{}};
     Fleet fleet = Fleet().of(4);
     CHECK(gate.offerVersion({draft(5, fleet)}, 0).outcome == OfferOutcome::accepted);
@@ -302,12 +302,13 @@
     CHECK(next.offerVersion({draft(4, fleet)}, 200).outcome == OfferOutcome::refused);
     fleet.add("new", 9);
     CHECK(next.offerVersion({draft(6, fleet)}, 300).outcome == OfferOutcome::accepted);
-    CHECK(member(next, "new")->bootTimeMs == 300);  // it may have started while nobody looked
+    CHECK(member(next, "new")->bootTimeMs == 300);  // it may have started while no process was running
 }
 
-// Whatever is offered in whatever order: what is in force is one of the sound versions offered, its number
-// only grows, and the steps handed out lead from each membership to the next.
-TEST_CASE("memberships through a thousand random offers") {
+// For random offers, the current membership changes only when a version is accepted or nodes are removed, its
+// version only increases, no incomplete file is accepted, and the changes from diffMemberships() lead from
+// each membership to the next.
+TEST_CASE("memberships after a thousand random offers") {
     std::mt19937_64 random(20261201);
     MESSAGE("seed 20261201");
     MembershipManager gate{MembershipRules{.removalDrainMs = 50, .maxLostFraction = 0.5}};
--- a/tests/roster/roster_test.cpp
+++ b/tests/roster/roster_test.cpp
@@ -1,4 +1,5 @@
-// Lists in any order: word of leaving holds until something newer takes it back.
+// Tests that a report of leaving stays in effect until newer information reverts it, whatever the order of
+// lists.
 #include "roster/roster.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// A roster beside what its effects add up to: the states that the decisions would have.
+/// A roster and the node states that result from applying its merge results.
 struct View {
     Roster roster{1024};
     std::map<std::uint64_t, ReportedState> states;
@@ -34,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("an older whole list makes no leaving server of the same start ready again") {
+TEST_CASE("an older snapshot does not make a leaving node with the same boot time ready again") {
     View v;
     v.take(whole(40, {{1}, {2}}));
     v.take(update(41, {{1, ReportedState::draining}}));
@@ -44,25 +45,25 @@
     v.take(update(42, {{1, ReportedState::gone}}));
     CHECK(v.take(whole(41, {{1, ReportedState::draining}, {2}})) == 1);
     CHECK(v.of(1) == ReportedState::gone);
-    // The same version again says nothing new either.
+    // Repeating the same version does not do so either.
     CHECK(v.take(update(42, {{1}})) == 1);
     CHECK(v.of(1) == ReportedState::gone);
 }
 
-TEST_CASE("a real return is believed: a later start, or a newer version that calls it ready") {
+TEST_CASE("a node is ready again after a later boot time or a newer version that lists it as ready") {
     View v;
     v.take(whole(40, {{1}, {2}}));
     v.take(update(41, {{1, ReportedState::draining}, {2, ReportedState::draining}}));
-    v.take(update(40, {{1, ReportedState::ready, 7000}}));  // an older list, a later start
+    v.take(update(40, {{1, ReportedState::ready, 7000}}));  // an older list, a later boot time
     CHECK(v.of(1) == ReportedState::ready);
     v.take(update(42, {{2}}));
     CHECK(v.of(2) == ReportedState::ready);
-    // What is said of a former start, late, says nothing of this one.
+    // A late report with an earlier boot time does not affect the new process.
     CHECK(v.take(update(41, {{1, ReportedState::gone, 0}})) == 1);
     CHECK(v.of(1) == ReportedState::ready);
 }
 
-TEST_CASE("draining, gone and back with a later start in one list, in whatever order") {
+TEST_CASE("draining, gone and ready with a later boot time in one list, in any order") {
     std::vector<NodeReport> said{
         {1, ReportedState::draining, 0}, {1, ReportedState::gone, 0}, {1, ReportedState::ready, 7000}};
     std::sort(said.begin(), said.end(),
@@ -77,7 +78,7 @@
     }));
 }
 
-TEST_CASE("named twice in one list, with one start: the leaving counts") {
+TEST_CASE("a node listed twice with the same boot time: the leaving report takes precedence") {
     for (const bool leavingFirst : {true, false}) {
         View v;
         v.take(whole(40, {{1}}));
@@ -87,14 +88,14 @@
     }
 }
 
-TEST_CASE("a whole list: what it leaves out is gone, what it names unreadably stays") {
+TEST_CASE("a snapshot removes the nodes that it omits and keeps those with unreadable entries") {
     View v;
     v.take(whole(40, {{1}, {2}, {3}}));
     v.take({41, true, {{1}}, {2}});
     CHECK(v.of(1) == ReportedState::ready);
     CHECK(v.of(2) == ReportedState::ready);
     CHECK(v.of(3) == ReportedState::gone);
-    // An older one that leaves out what came since: out, until the newer list names it again.
+    // An older snapshot that omits a newer node removes it until a newer list names it again.
     v.take(update(42, {{4}}));
     v.take(whole(41, {{1}, {2}}));
     CHECK(v.of(4) == ReportedState::gone);
@@ -102,7 +103,7 @@
     CHECK(v.of(4) == ReportedState::ready);
 }
 
-TEST_CASE("leaving that an older list tells takes effect, and a newer list may take it back") {
+TEST_CASE("a report of leaving in an older list takes effect, and a newer list may revert it") {
     View v;
     v.take(whole(45, {{1}}));
     v.take(whole(41, {{1, ReportedState::draining}}));
@@ -111,7 +112,7 @@
     CHECK(v.of(1) == ReportedState::ready);
 }
 
-TEST_CASE("what is remembered is bounded, the newest of what is gone is kept") {
+TEST_CASE("the number of remembered nodes is limited, and the newest gone nodes are kept") {
     Roster roster(100);
     for (int i = 0; i < 10'000; ++i)
         (void)roster.merge(update(i, {{static_cast<std::uint64_t>(i), ReportedState::gone}}));
@@ -119,9 +120,10 @@
     CHECK(roster.merge(update(9998, {{9999}})).staleCount == 1);
 }
 
-// A script of real changes, told whole, in part, late and twice, at random: once a leaving was told, no list
-// that is not newer makes the server ready, and the newest whole list always brings the true state.
-TEST_CASE("lists in any order, drawn") {
+// Reports a history of changes in random snapshots and updates, late and repeatedly. Once a node was reported
+// as leaving, it is ready only with a later boot time, and the newest snapshot always leads to the true
+// state.
+TEST_CASE("lists in random order") {
     for (const std::uint64_t seed : {20261201, 20261202, 20261203}) {
         CAPTURE(seed);
         std::mt19937_64 random(seed);
@@ -140,7 +142,8 @@
             history.push_back(now);
         }
         View v;
-        std::map<std::uint64_t, double> leftStart;  // the latest start that is known to leave
+        std::map<std::uint64_t, double>
+            leftStart;  // by id: the latest boot time that was reported as leaving
         for (int step = 0, newest = 0; step < 3000; ++step) {
             const int version = below(4) == 0 ? newest = std::min(300, newest + below(3)) : below(newest + 1);
             ReportedList list{version, below(2) == 0, {}, {}};
@@ -156,7 +159,7 @@
                 }
             for (const auto& [id, health] : v.states) {
                 if (health != ReportedState::ready || !leftStart.contains(id)) continue;
-                double start = 0;  // of the ready entries told so far the roster believes the latest
+                double start = 0;  // the latest boot time of the ready entries up to the newest version
                 for (int i = 0; i <= newest; ++i)
                     if (const NodeReport& t = history[static_cast<std::size_t>(i)].at(id);
                         t.state == ReportedState::ready)
--- a/tests/shutdown/schedule_test.cpp
+++ b/tests/shutdown/schedule_test.cpp
@@ -1,4 +1,4 @@
-// Whether each step of a shutdown leaves room for a process that is held up there, whatever the deadlines.
+// Tests that each step of a shutdown allows for a stall of the process at that step, for any deadline.
 #include "shutdown/schedule.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 constexpr double kTurnMs = ShutdownSchedule::kLoopTurnMs;
 constexpr double kWayOutMs = ShutdownSchedule::kMaxDeliveryMs;
 
-/// When SIGKILL comes at the earliest, counted from SIGTERM, by the protocol's words.
+/// Returns the earliest SIGKILL in ms after SIGTERM, as the protocol defines it.
 double killAfterSigterm(double deadlineMs) { return (deadlineMs > 3000 ? 3000 : deadlineMs) + 700; }
 
 const std::vector<double>& deadlines() {
@@ -24,7 +24,7 @@
     return all;
 }
 
-/// The steps at which a process may be held up, once in all.
+/// The step at which the process stalls; it stalls at most once.
 enum class Stalled { nowhere, signal, attempt, answer, exit };
 constexpr Stalled kStalls[] = {Stalled::nowhere, Stalled::signal, Stalled::attempt, Stalled::answer,
                                Stalled::exit};
@@ -42,7 +42,7 @@
     }
 }
 
-TEST_CASE("shutdown schedule: the steps are in their order") {
+TEST_CASE("shutdown schedule: the steps are in order") {
     for (const double deadlineMs : deadlines()) {
         CAPTURE(deadlineMs);
         const auto steps = ShutdownSchedule::forLongestDeadline(deadlineMs);
@@ -57,7 +57,7 @@
     }
 }
 
-TEST_CASE("shutdown schedule: with a stall at any one step all answers have left before SIGKILL") {
+TEST_CASE("shutdown schedule: with a stall at any one step all answers are sent before SIGKILL") {
     for (const double deadlineMs : deadlines()) {
         for (const Stalled where : kStalls) {
             CAPTURE(deadlineMs);
@@ -65,20 +65,21 @@
             const auto steps = ShutdownSchedule::forLongestDeadline(deadlineMs);
             const double seenMs = kTurnMs + stallAt(where, Stalled::signal);
             const auto moments = steps.startingAt(seenMs);
-            // An attempt that was decided in the last moment leaves before its request's answer is due.
+            // An attempt that is decided at the last moment is sent before the final answer is due.
             const double sentMs = moments.furtherAttemptUntilMs + stallAt(where, Stalled::attempt);
             if (steps.furtherAttemptUntilMs > 0) CHECK(sentMs < moments.answerByMs);
-            // The answers are handed over a turn after they were due, and reach the client in time.
+            // The kernel gets the answers one loop turn after they were due, and they reach the client in
+            // time.
             const double handedMs = moments.answerByMs + kTurnMs + stallAt(where, Stalled::answer);
             CHECK(handedMs <= moments.exitByMs);
             CHECK(handedMs + kWayOutMs <= killAfterSigterm(deadlineMs));
-            // A hold-up at the exit delays no answer: all of them are with the kernel.
+            // A stall at the exit delays no answer, because the kernel has all of them.
             CHECK(moments.exitByMs + kTurnMs + kWayOutMs <= killAfterSigterm(deadlineMs));
         }
     }
 }
 
-TEST_CASE("shutdown schedule: usual deadlines leave the listener open for as long as new connections come") {
+TEST_CASE("shutdown schedule: with usual deadlines listeners stay open as long as new connections arrive") {
     for (const double deadlineMs : deadlines()) {
         if (deadlineMs < 200) continue;
         CAPTURE(deadlineMs);
@@ -87,7 +88,7 @@
     }
 }
 
-TEST_CASE("shutdown schedule: of two schedules each step counts at its earlier moment") {
+TEST_CASE("shutdown schedule: earlierOf() takes the earlier time of each step") {
     const auto late = ShutdownSchedule::forLongestDeadline(3000).startingAt(1000);
     const auto soon = ShutdownSchedule::forLongestDeadline(500).startingAt(2000);
     const auto both = late.earlierOf(soon);
@@ -99,7 +100,7 @@
     CHECK(both.furtherAttemptUntilMs == soon.furtherAttemptUntilMs);
 }
 
-TEST_CASE("longest deadline: a shorter one counts at once, a longer one once it has settled") {
+TEST_CASE("longest deadline: a decrease takes effect at once, an increase after a delay") {
     LongestDeadline longest(2000);
     longest.update(10'000, 500);
     CHECK(longest.deadlineMsAt(10'000) == 500);
@@ -109,7 +110,7 @@
     CHECK(longest.deadlineMsAt(15'000) == 4000);
 }
 
-TEST_CASE("longest deadline: changes in quick succession count by the shortest of them") {
+TEST_CASE("longest deadline: the shortest of several changes in quick succession applies") {
     LongestDeadline longest(1000);
     longest.update(0, 3000);
     longest.update(100, 2000);
