--- a/tests/shutdown/schedule_test.cpp
+++ b/tests/shutdown/schedule_test.cpp
@@ -12,24 +12,24 @@
 namespace {
 
 constexpr double kStallMs = ShutdownSchedule::kMaxStallMs;
-constexpr double kTurnMs = ShutdownSchedule::kLoopTurnMs;
-constexpr double kWayOutMs = ShutdownSchedule::kMaxDeliveryMs;
+constexpr double kLoopTurnMs = ShutdownSchedule::kLoopTurnMs;
+constexpr double kDeliveryMs = ShutdownSchedule::kMaxDeliveryMs;
 
 /// Returns the earliest SIGKILL in ms after SIGTERM, as the protocol defines it.
-double killAfterSigterm(double deadlineMs) { return (deadlineMs > 3000 ? 3000 : deadlineMs) + 700; }
+double sigkillAfterSigtermMs(double deadlineMs) { return (deadlineMs > 3000 ? 3000 : deadlineMs) + 700; }
 
 const std::vector<double>& deadlines() {
-    static const std::vector<double> all{1,    50,   200,  300,  750,  1500,  2000,
-                                         2999, 3000, 3001, 4000, 5000, 60'000};
-    return all;
+    static const std::vector<double> values{1,    50,   200,  300,  750,  1500,  2000,
+                                            2999, 3000, 3001, 4000, 5000, 60'000};
+    return values;
 }
 
 /// The step at which the process stalls; it stalls at most once.
-enum class Stalled { nowhere, signal, attempt, answer, exit };
-constexpr Stalled kStalls[] = {Stalled::nowhere, Stalled::signal, Stalled::attempt, Stalled::answer,
-                               Stalled::exit};
+enum class StallStep { nowhere, signal, attempt, answer, exit };
+constexpr StallStep kStallSteps[] = {StallStep::nowhere, StallStep::signal, StallStep::attempt,
+                                     StallStep::answer, StallStep::exit};
 
-double stallAt(Stalled where, Stalled step) { return where == step ? kStallMs : 0; }
+double stallMsAt(StallStep stallStep, StallStep step) { return stallStep == step ? kStallMs : 0; }
 
 }  // namespace
 
@@ -38,7 +38,7 @@
     for (const double deadlineMs : deadlines()) {
         CAPTURE(deadlineMs);
         const auto steps = ShutdownSchedule::forLongestDeadline(deadlineMs);
-        CHECK(steps.earliestSigkillMs + kStallMs + kTurnMs == killAfterSigterm(deadlineMs));
+        CHECK(steps.earliestSigkillMs + kStallMs + kLoopTurnMs == sigkillAfterSigtermMs(deadlineMs));
     }
 }
 
@@ -59,22 +59,23 @@
 
 TEST_CASE("shutdown schedule: with a stall at any one step all answers are sent before SIGKILL") {
     for (const double deadlineMs : deadlines()) {
-        for (const Stalled where : kStalls) {
+        for (const StallStep stallStep : kStallSteps) {
             CAPTURE(deadlineMs);
-            CAPTURE(static_cast<int>(where));
+            CAPTURE(static_cast<int>(stallStep));
             const auto steps = ShutdownSchedule::forLongestDeadline(deadlineMs);
-            const double seenMs = kTurnMs + stallAt(where, Stalled::signal);
-            const auto moments = steps.startingAt(seenMs);
+            const double seenMs = kLoopTurnMs + stallMsAt(stallStep, StallStep::signal);
+            const auto times = steps.startingAt(seenMs);
             // An attempt that is decided at the last moment is sent before the final answer is due.
-            const double sentMs = moments.furtherAttemptUntilMs + stallAt(where, Stalled::attempt);
-            if (steps.furtherAttemptUntilMs > 0) CHECK(sentMs < moments.answerByMs);
-            // The kernel gets the answers one loop turn after they were due, and they reach the client in
-            // time.
-            const double handedMs = moments.answerByMs + kTurnMs + stallAt(where, Stalled::answer);
-            CHECK(handedMs <= moments.exitByMs);
-            CHECK(handedMs + kWayOutMs <= killAfterSigterm(deadlineMs));
+            const double attemptSentMs =
+                times.furtherAttemptUntilMs + stallMsAt(stallStep, StallStep::attempt);
+            if (steps.furtherAttemptUntilMs > 0) CHECK(attemptSentMs < times.answerByMs);
+            // The kernel gets the answers one loop turn after they were due. They reach the client in time.
+            const double answersWrittenMs =
+                times.answerByMs + kLoopTurnMs + stallMsAt(stallStep, StallStep::answer);
+            CHECK(answersWrittenMs <= times.exitByMs);
+            CHECK(answersWrittenMs + kDeliveryMs <= sigkillAfterSigtermMs(deadlineMs));
             // A stall at the exit delays no answer, because the kernel has all of them.
-            CHECK(moments.exitByMs + kTurnMs + kWayOutMs <= killAfterSigterm(deadlineMs));
+            CHECK(times.exitByMs + kLoopTurnMs + kDeliveryMs <= sigkillAfterSigtermMs(deadlineMs));
         }
     }
 }
@@ -89,15 +90,15 @@
 }
 
 TEST_CASE("shutdown schedule: earlierOf() takes the earlier time of each step") {
-    const auto late = ShutdownSchedule::forLongestDeadline(3000).startingAt(1000);
-    const auto soon = ShutdownSchedule::forLongestDeadline(500).startingAt(2000);
-    const auto both = late.earlierOf(soon);
-    CHECK(both.earliestSigkillMs == std::min(late.earliestSigkillMs, soon.earliestSigkillMs));
-    CHECK(both.earliestSigkillMs == soon.earlierOf(late).earliestSigkillMs);
-    CHECK(both.acceptUntilMs == late.acceptUntilMs);
-    CHECK(both.answerByMs == soon.answerByMs);
-    CHECK(both.exitByMs == soon.exitByMs);
-    CHECK(both.furtherAttemptUntilMs == soon.furtherAttemptUntilMs);
+    const auto first = ShutdownSchedule::forLongestDeadline(3000).startingAt(1000);
+    const auto second = ShutdownSchedule::forLongestDeadline(500).startingAt(2000);
+    const auto earlier = first.earlierOf(second);
+    CHECK(earlier.earliestSigkillMs == std::min(first.earliestSigkillMs, second.earliestSigkillMs));
+    CHECK(earlier.earliestSigkillMs == second.earlierOf(first).earliestSigkillMs);
+    CHECK(earlier.acceptUntilMs == first.acceptUntilMs);
+    CHECK(earlier.answerByMs == second.answerByMs);
+    CHECK(earlier.exitByMs == second.exitByMs);
+    CHECK(earlier.furtherAttemptUntilMs == second.furtherAttemptUntilMs);
 }
 
 TEST_CASE("longest deadline: a decrease takes effect at once, an increase after a delay") {
