--- a/src/membership/checks.cpp
+++ b/src/membership/checks.cpp
@@ -27,8 +27,8 @@
         addIncomplete("starts with version " + number(nodeFile.version) + " but ends with version " +
                       number(nodeFile.trailerVersion));
     if (nodeFile.declaredCount != nodeFile.members.size())
-        addIncomplete("count is " + number(nodeFile.declaredCount) + ", but the file has " +
-                      number(nodeFile.members.size()) + " nodes");
+        addIncomplete("count is " + number(nodeFile.declaredCount) +
+                      ", but the number of nodes in the file is " + number(nodeFile.members.size()));
 }
 
 bool isValidName(const std::string& name) {
@@ -88,8 +88,7 @@
     std::set<std::string> racks;
     std::set<int> shards;
     double maxFleetFraction = 0;
-    /// Whether there are permits for changes from other versions. They allow nothing, but problems mention
-    /// them.
+    /// Whether there are permits for changes from other versions, which the problems mention.
     bool hasOtherPermits = false;
 };
 AllowedRemovals collectPermits(const std::vector<const ParsedNodeFile*>& parts, std::uint64_t fromVersion) {
--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -51,8 +51,7 @@
         for (const NodeReport& report : list.nodes) listedIds.insert(report.id);
         for (auto& [id, known] : nodesById_) {
             if (known.report.state == ReportedState::gone || listedIds.contains(id)) continue;
-            // A ready node may have been added after this list was made: it is gone until a newer list names
-            // it.
+            // A ready node may be newer than this list: it stays gone until a newer list names it.
             const bool wasReady = known.report.state == ReportedState::ready;
             known.report.state = ReportedState::gone;
             known.version = wasReady ? list.version : std::max(known.version, list.version);
