--- a/src/limedrum/bids.cpp
+++ b/src/limedrum/bids.cpp
@@ -7,16 +7,17 @@
 namespace limedrum {
 namespace {
 
-constexpr std::size_t kMessageBytes = 256;  // what TellPeer allows
+constexpr std::size_t kMessageBytes = 256;  // limit of SendPeerMessage
 constexpr std::string_view kBids = "b3";
 constexpr std::string_view kSums = "s3";
-constexpr double kParts = 10;  // figures are written in tenths
+constexpr double kParts = 10;  // per unit: figures are written in tenths
 
-constexpr std::string_view kKinds = "ag";  // as BudgetMessage::Kind
+constexpr std::string_view kKinds = "ag";  // in the order of BudgetMessage::Kind
 
-/// Takes numbers off the front of a text, each after the character given.
+/// Reads numbers from the front of a text.
 struct Reader {
     std::string_view rest;
+    /// Reads a number that follows the character `before`. Returns false if there is none.
     template <typename Number>
     bool take(Number& value, char before) {
         if (rest.empty() || rest.front() != before) return false;
@@ -26,6 +27,7 @@
     }
 };
 
+/// In the order of the text.
 constexpr double Bid::*kFigures[] = {&Bid::offeredUnits, &Bid::reservedUnits, &Bid::weightedUnits,
                                      &Bid::servedUnits,  &Bid::overloadUnits, &Bid::bidderCount};
 
--- a/src/limedrum/bids.h
+++ b/src/limedrum/bids.h
@@ -1,5 +1,6 @@
-// The text of the bids and of their sums: "b3 ROUND CELL:OFFERED:RESERVED:WEIGHED:SERVED:PRESSED:HOSTS ...",
-// sums with "s3". Figures are in tenths.
+// The messages between hosts, as text. Bids:
+// "b3 ROUND CELL:OFFERED:RESERVED:WEIGHTED:SERVED:OVERLOAD:BIDDERS ...", with the figures in tenths; sums of
+// bids are the same with "s3". Budget messages: see writeBudgetMessage().
 #pragma once
 
 #include <cstdint>
@@ -13,56 +14,62 @@
 
 namespace limedrum {
 
-/// What is queued, bid for and measured together: a shard by its number, or one weighted holder (laneOf()).
+/// Identifies what is queued, bid for and measured together: a shard, by its number, or one weighted holder
+/// of a shard, by holderCellId().
 using CellId = std::int64_t;
 
-/// One host's figures of a cell for the last round, or the sum of all bidders'.
+/// The figures of one host for a cell in the last round, or their sum over all bidders.
 struct Bid {
-    double offeredUnits = 0;   ///< units asked
-    double reservedUnits = 0;  ///< units asked inside the plans' reserves
-    double weightedUnits = 0;  ///< units asked beyond, each times its plan's weight
-    double servedUnits = 0;    ///< units
-    double overloadUnits = 0;  ///< of these, under pressure
-    double bidderCount = 0;    ///< bidders
+    double offeredUnits = 0;   ///< units requested by clients
+    double reservedUnits = 0;  ///< the part of them within the plans' reserves
+    double weightedUnits = 0;  ///< the rest of them, each multiplied by its plan's weight
+    double servedUnits = 0;
+    double overloadUnits = 0;  ///< units served while the node was overloaded, or left unanswered
+    double bidderCount = 0;
 
     Bid& operator+=(const Bid& other);
-    [[nodiscard]] double maxFigure() const;  ///< the largest figure
+    [[nodiscard]] double maxFigure() const;
 };
+/// Bids of one host, or sums of bids.
 struct BidMessage {
     bool isSums = false;
     std::uint64_t round = 0;
-    std::map<CellId, Bid> bids;  ///< by cell
+    std::map<CellId, Bid> bids;
 };
 
-/// A round's bids, by cell and bidder, as the host that gathers them has heard them.
+/// The bids of a round that an auctioneer has received, by cell and host number.
 struct GatheredBids {
     std::map<CellId, std::map<int, Bid>> bids;
 
-    /// What each host is told: the sums of the cells for which it bid and of those that `toAll` picks, as
-    /// hosts that did not bid may send there next. Nothing is left.
+    /// Returns the sums to send, by host number, and clears the bids. A host gets the sums of the cells for
+    /// which it bid. Sums for which `toAll` returns true go to all hosts, since hosts that did not bid may
+    /// send to the cell next.
     [[nodiscard]] std::map<int, std::map<CellId, Bid>> takeSums(int hosts,
                                                                 const std::function<bool(const Bid&)>& toAll);
 };
 
-/// A budget that all hosts share: 'n' and a node's number, or 'v' and the number of a volume's name.
+/// Identifies a budget that all hosts share: 'n' and the id of a cold node, or 'v' and the hash of the name
+/// of a volume whose plan has a limit.
 using BudgetId = std::pair<char, std::uint64_t>;
+/// Asks a coordinator of a shared budget for units, or answers that.
 struct BudgetMessage {
     enum Kind { ask, grant };
     Kind kind = ask;
     BudgetId id;
-    int coordinatorIndex = 0;   ///< which of the budget's keepers
-    double bootMsOrPlanNo = 0;  ///< the node's start in ms, or the volume's plan
-    double units = 0;           ///< asked, or dealt: all of it or nothing
-    double askerClockMs = 0;    ///< the asker's clock, given back with the grant
+    int coordinatorIndex = 0;   ///< which of the budget's coordinators is asked
+    double bootMsOrPlanNo = 0;  ///< the node's start time in ms, or the number of the volume's plan
+    double units = 0;           ///< asked for, or granted: all that was asked for, or 0
+    double askerClockMs = 0;    ///< time of asking by the asker's clock, returned with the grant
 };
 
-/// "a3 n|v NUMBER PART FIGURE TENTHS STAMP"; grants with "g3".
+/// Returns "a3 n|v ID COORDINATOR BOOT_MS_OR_PLAN TENTHS_OF_UNITS ASKER_CLOCK_MS"; grants begin with "g3".
 [[nodiscard]] std::string writeBudgetMessage(const BudgetMessage& message);
+/// Returns nothing for a malformed text.
 [[nodiscard]] std::optional<BudgetMessage> readBudgetMessage(std::string_view text);
 
-/// As many texts as it takes to stay within what one message may hold.
+/// Returns as many texts as needed, each within the size limit of SendPeerMessage.
 [[nodiscard]] std::vector<std::string> writeBidMessages(const BidMessage& message);
-/// Nothing for a text that is not whole and exact.
+/// Returns nothing for a malformed text.
 [[nodiscard]] std::optional<BidMessage> readBidMessage(std::string_view text);
 
 }  // namespace limedrum
--- a/src/limedrum/fleet.h
+++ b/src/limedrum/fleet.h
@@ -1,4 +1,5 @@
-// The tables of nodes and cells, and who holds what. No decisions: src/limedrum/scheduler_impl.h has them.
+// The tables of nodes and cells and the relation between them. The decisions are made in Scheduler::Impl
+// (src/limedrum/scheduler_impl.h).
 #pragma once
 
 #include <map>
@@ -11,29 +12,31 @@
 
 namespace limedrum {
 
+/// The nodes of the list and the cells that they hold or that have requests.
 struct Fleet {
     std::unordered_map<NodeId, Node> nodes;
     std::unordered_map<CellId, Cell> cells;
-    std::map<int, std::vector<Node*>> weightedHolders;  // by shard: its weighted holders
-    std::vector<Cell*> cellsWithHolders;  // cells with holders, in no order: one is drawn in one step
-    std::set<CellId> cellsInRounds;       // cells that a round may change: all others it passes over
-    std::set<CellId> cellsWithWork;       // cells with work held or out
-    std::set<NodeId> goneNodes;           // nodes to be forgotten
+    std::map<int, std::vector<Node*>> weightedHolders;  // by shard
+    std::vector<Cell*> cellsWithHolders;  // unordered, so that a random one is found in constant time
+    std::set<CellId> cellsInRounds;       // cells that a round's end may change; it skips all others
+    std::set<CellId> cellsWithWork;       // cells with requests queued or attempts in flight
+    std::set<NodeId> goneNodes;           // to be erased once they have nothing in flight
 
-    /// The cells with holders, by their numbers.
+    /// Returns the cells with holders, ordered by id.
     std::vector<Cell*> cellsById() const {
         std::vector<Cell*> out = cellsWithHolders;
         std::sort(out.begin(), out.end(), [](const Cell* a, const Cell* b) { return a->id < b->id; });
         return out;
     }
+    /// Returns all nodes, ordered by id.
     std::vector<const Node*> nodesById() const {
         std::vector<const Node*> out;
         for (const auto& [id, n] : nodes) out.push_back(&n);
         std::sort(out.begin(), out.end(), [](const Node* a, const Node* b) { return a->id < b->id; });
         return out;
     }
-    /// The cell, made where it is not there. From now on rounds look at it, until it rests: whatever asks for
-    /// a cell comes through here, so that none is left behind. (A holder's own goes when its holder goes.)
+    /// Returns the cell, creating it if needed, and includes it in rounds until dropIdleCells() drops it. All
+    /// changes to cells must go through here, so that no cell without holders stays in the table for good.
     Cell& cellForUpdate(CellId id) {
         Cell& c = findOrCreateCell(id);
         if (!c.inRounds) cellsInRounds.insert(id);
@@ -41,7 +44,7 @@
         return c;
     }
 
-    /// Takes a node into the table as the list has it.
+    /// Adds or updates a node as the node list describes it, except for its start time.
     Node& upsertNode(const NodeEntry& entry) {
         Node& n = nodes[entry.node];
         const CellId cell = entry.weight > 0 ? holderCellId(entry.node) : entry.shard;
@@ -57,7 +60,7 @@
         return n;
     }
 
-    /// Left out of a whole list.
+    /// Marks all nodes as gone, before the nodes of a full list are added.
     void markAllGone() {
         for (auto& [id, n] : nodes) {
             n.state = NodeState::gone;
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Forgets nodes that are gone and have nothing out.
+    /// Erases nodes that are gone and have no attempts in flight.
     void eraseGoneNodes() {
         std::erase_if(goneNodes, [this](NodeId id) {
             Node& n = nodes.at(id);
@@ -78,7 +81,8 @@
         });
     }
 
-    /// Drops from `live` what another round would not change, and what stood for a holder that is no more.
+    /// Excludes cells from rounds that the end of another round would not change, and erases those of them
+    /// that have no holders.
     void dropIdleCells() {
         std::erase_if(cellsInRounds, [&](CellId id) {
             Cell& c = cells.at(id);
@@ -92,6 +96,7 @@
         });
     }
 
+    /// Adds the request to the queue of its cell, unless it is there.
     void enqueue(Request& r) {
         if (r.queued) return;
         r.queued = true;
@@ -107,10 +112,11 @@
         c.queue.erase({r.dueMs, r.spec.id});
         c.queuedUnits = c.queue.empty() ? 0 : c.queuedUnits - r.spec.units;
     }
+    /// Moves a request to the queue of another cell.
     void moveToCell(Request& r, CellId to) {
         dequeue(r);
         r.cell = to;
-        r.blockingBudget.reset();  // what held it was the other holder's
+        r.blockingBudget.reset();  // it may have been the budget of the previous node
         enqueue(r);
     }
 
@@ -140,7 +146,7 @@
             cellsWithHolders[c.cellsWithHoldersIndex] = cellsWithHolders.back();
             cellsWithHolders[c.cellsWithHoldersIndex]->cellsWithHoldersIndex = c.cellsWithHoldersIndex;
             cellsWithHolders.pop_back();
-            cellForUpdate(n.cell);  // rest() drops it, once nothing waits there
+            cellForUpdate(n.cell);  // so that dropIdleCells() erases it once it has no work
         }
         const auto at = weightedHolders.find(n.shard);
         if (at == weightedHolders.end()) return;
--- a/src/limedrum/learned_state.cpp
+++ b/src/limedrum/learned_state.cpp
@@ -8,13 +8,15 @@
 namespace limedrum {
 namespace {
 
-// Lines of fields with a blank between; the first has the form's number, the last how many lines there are.
+// The text consists of lines of fields separated by a space. The first line begins with the version of the
+// format, the last one contains the number of lines before it.
 constexpr std::string_view kForm = "learned1";
-constexpr double kBucketMs = 100;      // of the windows of requests and repeats
-constexpr double kMostNumber = 1e15;   // of any figure: beyond it nothing is meant
-constexpr std::size_t kMostName = 64;  // bytes of a volume's name
+constexpr double kBucketMs = 100;      // resolution of the windows of requests and retries
+constexpr double kMostNumber = 1e15;   // no plausible figure is larger
+constexpr std::size_t kMostName = 64;  // bytes; volumes with longer names are left out
 
-// What passes on of each, in the order of the text. Times are those of the machine's clock, which both have.
+// The members that are written, in the order of the text. Times are those of the machine's clock, which both
+// processes use.
 constexpr std::array kNodeFigures{&Node::usualMsPerUnit, &Node::smoothedDelayMs, &Node::unitsPerSecond};
 constexpr std::array kNodeTimes{&Node::lastOverloadSignMs,      &Node::localOverloadUntilMs,
                                 &Node::reportedOverloadUntilMs, &Node::lastSaturatedMs,
@@ -26,6 +28,7 @@
 
 class Writer {
 public:
+    /// Begins a line.
     void line(std::string_view kind) {
         text += lines++ == 0 ? "" : "\n";
         text += kind;
@@ -33,9 +36,9 @@
     void name(std::string_view value) { (text += ' ') += value; }
     void whole(std::uint64_t value) { name(std::to_string(value)); }
     void number(double value) { put(" %.6g", value); }
-    /// To the ms; what was never counts as long ago.
+    /// Writes a time in whole ms; infinitely long ago becomes 0.
     void time(double ms) { put(" %.0f", std::max(ms, 0.0)); }
-    /// A node's start, which tells one life of it from another: to the last digit.
+    /// Writes all digits, as a node's start time needs, which is compared to recognise a restart.
     void exact(double value) { put(" %.17g", value); }
     void bid(const Bid& b) {
         for (const auto figure : kBidFigures) number(b.*figure);
@@ -52,13 +55,13 @@
     }
 };
 
-/// Takes lines and their fields off the front; `good` turns false at the first that is not as it should be.
+/// Reads lines and their fields from the front of a text; `good` becomes false at the first invalid one.
 class Reader {
 public:
     explicit Reader(std::string_view text) : rest_(text) {}
-    /// The next line's kind; empty after the last.
+    /// Begins the next line and returns its first field; empty after the last line.
     std::string_view line() {
-        if (!line_.empty()) good = false;  // more fields than are known
+        if (!line_.empty()) good = false;  // the previous line has more fields than expected
         if (rest_.empty()) return {};
         line_ = rest_.substr(0, rest_.find('\n'));
         rest_.remove_prefix(std::min(rest_.size(), line_.size() + 1));
@@ -68,6 +71,7 @@
         return kind;
     }
     [[nodiscard]] bool atEnd() const { return rest_.empty(); }
+    /// Whether the line has more fields.
     [[nodiscard]] bool more() const { return !line_.empty(); }
     std::string name() {
         const std::string_view field = take();
@@ -75,7 +79,7 @@
         return std::string(field);
     }
     std::uint64_t whole() { return read<std::uint64_t>(); }
-    /// No figure or time is below 0.
+    /// Reads a figure or time, which must not be negative.
     double figure() {
         const double value = read<double>();
         if (!(value >= 0 && value <= kMostNumber)) good = false;
@@ -114,7 +118,8 @@
     std::string_view rest_, line_;
 };
 
-/// By buckets: a repeat counts from its bucket's end, a request from its start, so that none allows more.
+/// Writes a window as sums over kBucketMs each. With `atEnd` a bucket's units count from its end, else from
+/// its start: retries are rounded up and requests down, so that neither rounding allows more retries.
 void writeWindow(Writer& out, std::string_view kind, const SlidingWindow& window, bool atEnd) {
     std::map<double, double> buckets;
     for (const auto& [ms, units] : window.entries)
@@ -126,7 +131,7 @@
     }
 }
 
-/// Both are in the order of time: what is handed over is older than what has been counted here.
+/// Inserts imported entries before those of `to`: they are older than what was counted here.
 void join(SlidingWindow& to, const std::map<double, double>& from) {
     SlidingWindow both;
     for (const auto& [ms, units] : from) both.add(ms, units);
@@ -134,7 +139,7 @@
     to = std::move(both);
 }
 
-/// What a text says, before any of it counts.
+/// The content of a text, kept apart until all of it is known to be valid.
 struct Memory {
     std::map<NodeId, Node> nodes;
     std::map<CellId, Cell> cells;
@@ -266,7 +271,7 @@
     }
 }
 
-/// A round has ended since it was written: what was then of that round is of the last one.
+/// Accounts for a round that ended after the text was written: its current round is now the last one.
 void endRound(Memory& memory) {
     for (auto& [id, c] : memory.cells) {
         c.offeredLastRound = std::exchange(c.offeredThisRound, 0);
@@ -280,12 +285,12 @@
     for (auto& [name, v] : memory.volumes) v.endRound();
 }
 
-/// A level that goes over: from now on it fills there, and here from nothing.
+/// Writes a bucket's level and empties the bucket, which from now on fills from zero.
 void giveUp(Writer& out, BudgetPart& ledger, double nowMs) {
     out.number(std::max(0.0, std::exchange(ledger.bucketLevel, 0)));
     out.time(std::exchange(ledger.lastRefillMs, nowMs));
 }
-/// One that came over. What was touched here before is less than a start's.
+/// Adds an imported level. The bucket's own level is small, since it was empty when this host started.
 void fill(BudgetPart& ledger, const BudgetPart& told, double nowMs) {
     ledger.bucketLevel += told.bucketLevel;
     ledger.lastRefillMs = std::min(told.lastRefillMs, nowMs);
@@ -337,14 +342,14 @@
     Memory memory;
     if (!readAll(in, memory) || std::abs(nowMs - memory.writtenMs) > kLearnedStateMaxAgeMs) return false;
     if (memory.writtenMs < roundStartMs) endRound(memory);
-    const double lastMs = nowMs + kLearnedStateMaxAgeMs;  // no pressure holds for longer
+    const double lastMs = nowMs + kLearnedStateMaxAgeMs;  // no valid time is later
     for (const auto& [id, told] : memory.nodes) {
         const auto at = to.fleet.nodes.find(id);
         if (at == to.fleet.nodes.end() || at->second.bootMs != told.bootMs) continue;
         for (const auto figure : kNodeFigures) at->second.*figure = told.*figure;
         for (const auto time : kNodeTimes) at->second.*time = std::min(told.*time, lastMs);
     }
-    // The next process may have started with fewer plans.
+    // This process may have fewer plans than the one that wrote the text.
     std::erase_if(memory.volumes, [&](const auto& v) {
         return v.second.planNo >= static_cast<int>(to.settings.plans.size());
     });
--- a/src/limedrum/learned_state.h
+++ b/src/limedrum/learned_state.h
@@ -1,11 +1,11 @@
-// What a host has learned, as text: a process hands it to the next one on its machine, which goes on with it
-// in its place. Which server gets what is decided in src/limedrum/scheduler_impl.h; here stands what passes
-// on.
+// Writes and reads what a host has learned, as text. A process hands it to the next one on its machine, which
+// continues under the same host number.
 //
-// Nodes: usual times, rates, pressure and silence, for the same start of the node only. Cells: last round's
-// bid, the bids' sum, what each volume asked. Volumes: what was served through which host. Budgets: what was
-// taken and sent again within the rule's window. Limits: the level of each part goes over whole, so that
-// both processes together never have more than one had; a part that nobody takes over is lost.
+// The text contains, of nodes: usual times, capacity, overload and silence, valid only for the same start of
+// the node; of cells: the last bid, the bid sum and the demand of each volume; of volumes: the units served
+// through this and other hosts; of the retry budget: the requests and retries within its window; of limits:
+// the level of each token bucket. A level moves as a whole, so that both processes together never have more
+// than one had; a level that is not imported is lost.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
 
 namespace limedrum {
 
-/// Where a host keeps it.
+/// References to the data that is exported and imported.
 struct LearnedState {
     const Settings& settings;
     Fleet& fleet;
@@ -27,19 +27,21 @@
     std::map<BudgetId, CoordinatorBudget>& coordinatorBudgets;
     SlidingWindow& recentRequests;
     SlidingWindow& recentRetries;
-    double& budgetFillStartMs;  ///< since when parts of limits that nobody has touched fill
+    double& budgetFillStartMs;  ///< since when token buckets that were never used have been filling
 };
 
-/// The text, which another process may read within `kMemoryMs`. The levels of limits are no longer here.
+/// Returns the learned state as text, which is valid for kLearnedStateMaxAgeMs. Empties the token buckets of
+/// limits in `from`, because their levels move into the text.
 [[nodiscard]] std::string writeLearnedState(double nowMs, const LearnedState& from);
 
-/// Takes it over whole, or nothing where it is not: torn, of another form, stale, or absurd. What it says of
-/// nodes that are not known here, or have started anew, is passed over. Whether it was taken.
-/// `roundStartMs`: of the present round, in which what was asked since then counts.
+/// Reads a learned state into `to`. Returns false and changes nothing if the text is incomplete, of another
+/// format, too old, or contains impossible values. Ignores what it says of nodes that are not known here or
+/// have restarted. If the text was written before `roundStartMs`, the start of the current round, its figures
+/// of the round then current count for the last round.
 [[nodiscard]] bool readLearnedState(std::string_view text, double nowMs, double roundStartMs,
                                     const LearnedState& to);
 
-inline constexpr double kLearnedStateMaxAgeMs =
-    5000;  // a bid's sum stands for three rounds of 2 s: older, little of it holds
+/// A bid sum is valid for three rounds of 2 s; little of an older state is still true.
+inline constexpr double kLearnedStateMaxAgeMs = 5000;
 
 }  // namespace limedrum
--- a/src/limedrum/rendezvous.h
+++ b/src/limedrum/rendezvous.h
@@ -1,6 +1,6 @@
-// Which of a shard's holders a piece of data belongs to: weighted rendezvous hashing. Each host works it out
-// alone and finds the same. Between two lists only those pieces move that a change of members or weights
-// makes move.
+// Assigns pieces of data to the weighted holders of a shard by weighted rendezvous hashing. All hosts compute
+// the same assignment without communication. When holders or weights change, only the pieces of the holders
+// concerned move.
 #pragma once
 
 #include <cmath>
@@ -10,11 +10,11 @@
 
 namespace limedrum {
 
-/// A weighted holder's own cell. No shard has such a number, and -1 stays free for none.
+/// Returns the cell of a weighted holder: a number below -1, which no shard has; -1 means no cell.
 inline CellId holderCellId(NodeId node) { return -2 - static_cast<CellId>(node & 0x3fffffffffffffffULL); }
 
-/// A holder's claim on a piece, from 0 up; the largest has it. Of many pieces each holder has its weight's
-/// part.
+/// Returns a holder's score for a piece, which is not negative. The piece belongs to the holder with the
+/// highest score. Of many pieces each holder gets a share in proportion to its weight.
 inline double rendezvousScore(std::uint64_t piece, NodeId holder, double weight) {
     return -weight / std::log(Random(piece ^ (holder * 0x9e3779b97f4a7c15ULL)).uniform());
 }
--- a/src/limedrum/settings.cpp
+++ b/src/limedrum/settings.cpp
@@ -13,7 +13,7 @@
 void require(bool good, const std::string& field) {
     if (!good) throw std::invalid_argument("settings: " + field + " is out of range");
 }
-/// Each finite and not negative.
+/// Requires each value to be finite and not negative.
 void requireFigures(std::initializer_list<std::pair<const char*, double>> figures) {
     for (const auto& [field, value] : figures) require(std::isfinite(value) && value >= 0, field);
 }
--- a/src/limedrum/state.h
+++ b/src/limedrum/state.h
@@ -1,5 +1,5 @@
-// What a host keeps of requests, attempts, nodes, volumes and peers. Plain data: what decides stands behind
-// src/limedrum/scheduler_impl.h.
+// The data that a host keeps about requests, attempts, nodes, volumes and budgets. The decisions are made in
+// Scheduler::Impl (src/limedrum/scheduler_impl.h).
 #pragma once
 
 #include <limedrum/scheduler.h>
@@ -21,9 +21,9 @@
 
 namespace limedrum {
 
-/// Units by time, and their sum.
+/// Units counted by time, with their sum.
 struct SlidingWindow {
-    std::deque<std::pair<double, double>> entries;
+    std::deque<std::pair<double, double>> entries;  // time in ms and units, oldest first
     double totalUnits = 0;
 
     void add(double ms, double more) {
@@ -34,7 +34,7 @@
     void dropBefore(double beforeMs) {
         while (!entries.empty() && entries.front().first < beforeMs) dropOldest();
     }
-    /// Takes units from the oldest on; returns how many there were to take.
+    /// Removes up to `wanted` units, oldest first, and returns how many were removed.
     double takeOldest(double wanted) {
         double taken = 0;
         while (!entries.empty() && taken < wanted) {
@@ -55,22 +55,25 @@
     }
 };
 
-/// What all hosts together may send: so many units within any window, or a store that fills in that time.
+/// A limit on what all hosts together may send: `units` within any window, or a token bucket of that capacity
+/// which fills from empty in `windowMs`.
 struct Budget {
     double units = 0;
     double windowMs = 0;
     bool isTokenBucket = false;
 };
-/// What was taken of a part of one.
+/// The use of one part of a budget.
 struct BudgetPart {
     SlidingWindow used;
-    double bucketLevel = 0;  // of a part that fills: empty at its host's start
+    double bucketLevel = 0;  // of a token bucket; empty when its host starts
     double lastRefillMs = -std::numeric_limits<double>::infinity();
 
-    /// Units left in the part. What is taken counts `lagMs` longer, as it may be used late.
+    /// Returns the units left in the fraction `part` of budget `b`. Consumed units count `lagMs` beyond the
+    /// window, because they may be used that much later. A bucket that was never refilled has been filling
+    /// since `startMs`.
     double availableUnits(double nowMs, const Budget& b, double part, double startMs, double lagMs) {
         const double whole = part * b.units;
-        // One that was handed over has filled since before this host's start.
+        // An imported bucket has been filling since before this host started.
         const double sinceMs = std::isfinite(lastRefillMs) ? lastRefillMs : startMs;
         bucketLevel = std::min(whole, bucketLevel + whole * std::max(0.0, nowMs - sinceMs) / b.windowMs);
         lastRefillMs = nowMs;
@@ -81,24 +84,25 @@
         bucketLevel -= units;
         used.add(nowMs, units);
     }
-    /// Untouched for longer than any window: it would be full again.
+    /// Whether the part was not used since `beforeMs`. If that is longer ago than any window, it is full
+    /// again and need not be kept.
     bool isIdle(double beforeMs) {
         used.dropBefore(beforeMs);
         return used.entries.empty() && lastRefillMs < beforeMs;
     }
 };
-/// A host's use of a budget.
+/// What this host may use of a shared budget.
 struct BudgetShare {
-    BudgetPart evenPart;                 // the even part
-    SlidingWindow granted;               // by the keepers, by when it was asked for
-    std::map<int, double> lastDeniedMs;  // by each of them, last
+    BudgetPart evenPart;                 // this host's part of the evenly split fraction
+    SlidingWindow granted;               // units granted by the coordinators, by the time of asking
+    std::map<int, double> lastDeniedMs;  // by coordinator index
 
     bool isIdle(double beforeMs) {
         granted.dropBefore(beforeMs);
         return evenPart.isIdle(beforeMs) && granted.entries.empty();
     }
 };
-/// What this host dealt of one, as each of its keepers.
+/// What this host granted of a shared budget, by the coordinator index under which it did so.
 struct CoordinatorBudget {
     std::map<int, BudgetPart> parts;
 
@@ -106,93 +110,100 @@
         return std::all_of(parts.begin(), parts.end(), [&](auto& e) { return e.second.isIdle(beforeMs); });
     }
 };
+/// Erases the entries of a map that were not used since `beforeMs`.
 template <typename Table>
 void eraseIdle(Table& table, double beforeMs) {
     for (auto it = table.begin(); it != table.end();)
         it = it->second.isIdle(beforeMs) ? table.erase(it) : std::next(it);
 }
 
+/// An open request: one without its final answer.
 struct Request {
     RequestEvent spec;
     double arrivalMs = 0;
-    double dueMs = 0;
-    double nextCheckMs = 0;   // when its time is looked at: part of it has passed, then all
-    double worthPerUnit = 0;  // worth a unit: what shedding compares
+    double dueMs = 0;         // when the answer should be there: the aim, or the expiry if that is past
+    double nextCheckMs = 0;   // when to check whether it can still be served
+    double worthPerUnit = 0;  // requests with the lowest are shed first
     CellId cell = -1;
     int attemptsStarted = 0;
     int attemptsInFlight = 0;
-    bool lateClientRetry = false;  // a client's repeat whose aim has passed
-    bool limitCharged = false;     // its units have been taken from the volume's store
-    int maxAttempts = 1;           // attempts that it may have in all
+    bool lateClientRetry = false;  // a client's retry that arrived after the aim of its first try
+    bool limitCharged = false;     // its units were taken from the volume's limit
+    int maxAttempts = 1;           // the first attempt included
     bool queued = false;
     bool streaming = false;
-    bool cancelPending = false;  // its attempt is being called off, its answer held for lost
-    double mayHaveRunSinceMs =
-        std::numeric_limits<double>::infinity();  // when the first that may have run was sent
-    double notBeforeMs = 0;
-    std::optional<BudgetId> blockingBudget;  // the shared budget that does not cover it
-    int grantRequestCount = 0;
+    bool cancelPending = false;  // its attempt is being cancelled, to be repeated at once
+    /// Send time of the first attempt that may have been executed; infinity: none.
+    double mayHaveRunSinceMs = std::numeric_limits<double>::infinity();
+    double notBeforeMs = 0;                  // earliest time of its next attempt
+    std::optional<BudgetId> blockingBudget;  // the shared budget that is used up
+    int grantRequestCount = 0;               // times that a coordinator of blockingBudget was asked
     double lastGrantRequestMs = 0;
-    bool deniedByAllCoordinators = false;  // each of its keepers was asked in vain
+    bool deniedByAllCoordinators = false;  // by those of blockingBudget
 };
+/// An attempt in flight; it may outlast its request.
 struct Attempt {
     NodeId node = 0;
     CellId cell = 0;
     double sentMs = 0;
     double units = 0;
-    bool presumedLost = false;  // no answer is expected any more
-    std::string orderingKey;    // of an ordered class, else empty
+    bool presumedLost = false;  // no longer counted among the node's attempts in flight
+    std::string orderingKey;    // the request's key if its class is ordered, else empty
     std::string volume;
 };
+/// A listed node, and what this host has learned about it. Overload means that answers take longer than usual
+/// by a fraction of the aim, or that the node rejects requests.
 struct Node {
     NodeId id = 0;
     CellId cell = 0;
     int shard = 0;
-    double weight = 0;           // against the shard's other holders; 0: not told
-    bool inCellHolders = false;  // listed with the holders of its cell
+    double weight = 0;           // relative to the shard's other holders; 0: not known
+    bool inCellHolders = false;  // it is in Cell::holders
     int zone = 0;
     NodeState state = NodeState::gone;
     double bootMs = 0;
     double unitsInFlight = 0;
     int attemptsInFlight = 0;
-    int sendsSinceAnswer = 0;         // sends since the last answer
-    double lastHeardMs = 0;           // last answer, or when the first of the present attempts went out
-    double latestAnsweredSendMs = 0;  // when the latest of the answered attempts went out
-    double usualMsPerUnit = 0;        // usual answer time a unit; 0: not learned
-    double delayMeasuredMs = 0;       // when the delay was last learned
-    double smoothedDelayMs = 0;       // smoothed answer time over the usual
-    double unitsPerSecond = 0;        // units a second by all bidders; 0: not learned
-    double lastSweepMs = 0;
-    double overloadMsThisRound = 0;  // felt this round, and in the last
+    int sendsSinceAnswer = 0;
+    double lastHeardMs = 0;           // last answer, or send time of the first attempt in flight if later
+    double latestAnsweredSendMs = 0;  // send time of the latest sent among the answered attempts
+    double usualMsPerUnit = 0;        // usual answer time per unit; 0: not known
+    double delayMeasuredMs = 0;       // last measurement of smoothedDelayMs
+    double smoothedDelayMs = 0;       // smoothed excess of answer times over the usual
+    double unitsPerSecond = 0;        // capacity for all hosts together; 0: not known
+    double lastSweepMs = 0;           // until when overloadMsThisRound is counted
+    double overloadMsThisRound = 0;   // time for which this host observed overload
     double overloadMsLastRound = 0;
-    double lastOverloadSignMs = 0;                                      // last sign of pressure
-    double localOverloadUntilMs = 0;                                    // as this host feels it
-    double reportedOverloadUntilMs = 0;                                 // as the sum of bids tells
-    double lastSaturatedMs = -std::numeric_limits<double>::infinity();  // last measured under pressure
-    double silentSinceMs = 0;                                           // 0: answering
-    double lastTrickleMs = 0;
-    double suspectedRestartMs = 0;  // came back from a long silence then, perhaps cold; 0: no doubt
+    double lastOverloadSignMs = 0;
+    double localOverloadUntilMs = 0;                                    // overload that this host observed
+    double reportedOverloadUntilMs = 0;                                 // overload inferred from the bid sums
+    double lastSaturatedMs = -std::numeric_limits<double>::infinity();  // last bid sum that showed saturation
+    double silentSinceMs = 0;                                           // 0: the node answers
+    double lastTrickleMs = 0;       // last attempt sent to check whether the silent node answers again
+    double suspectedRestartMs = 0;  // answered then after a long silence, perhaps cold; 0: no suspicion
 
-    /// An attempt is over, or no longer counted.
+    /// Removes an attempt from those in flight, because it ended or is presumed lost.
     void removeAttempt(double units) {
         attemptsInFlight = std::max(0, attemptsInFlight - 1);
         unitsInFlight = attemptsInFlight == 0 ? 0 : std::max(0.0, unitsInFlight - units);
     }
 };
-/// Why units got no answer, and how many.
+/// Why requests were not served.
 enum UnservedCause {
-    overLimit,
-    coldNode,
-    silentNode,
-    thinnedOut,
-    tooLate,
-    expired,
-    retriesExhausted,
+    overLimit,         // the plan's limit is used up
+    coldNode,          // the budget of a cold node is used up
+    silentNode,        // the node does not answer, or nobody serves the cell
+    thinnedOut,        // refused at random because its node is overloaded
+    tooLate,           // shed from the queue of an overloaded node
+    expired,           // its time has passed
+    retriesExhausted,  // an attempt failed and may not be repeated
     causeCount
 };
+/// Units of the requests that were not served, by cause.
 struct UnservedUnits {
     double unitsByCause[causeCount] = {};
 
+    /// Returns the causes that occurred with their units, each after a space; empty if none did.
     std::string text() const {
         static constexpr const char* kNames[causeCount] = {"limit", "cold",    "silent", "thinned",
                                                            "late",  "expired", "retries"};
@@ -204,25 +215,28 @@
         return line;
     }
 };
+/// Units offered at one worth per unit.
 struct WorthDemand {
-    double offeredThisRound = 0;  // units offered this round
-    double offeredLastRound = 0;  // and in the last
+    double offeredThisRound = 0;
+    double offeredLastRound = 0;
     double admitProbability = 1;
 };
+/// What a volume asks of a cell through this host, in units.
 struct Demand {
-    double offeredThisRound = 0;                            // units offered this round
-    double offeredLastRound = 0;                            // and in the last
-    double fairUnitsPerSecond = 0;                          // units a second allotted
-    std::map<double, WorthDemand, std::greater<>> byWorth;  // the same by the classes' worth a unit
+    double offeredThisRound = 0;
+    double offeredLastRound = 0;
+    double fairUnitsPerSecond = 0;                          // allotted to the volume
+    std::map<double, WorthDemand, std::greater<>> byWorth;  // by ClassSettings::worth, highest first
 };
-/// A volume's claim on what a node can do, in units a second.
+/// A volume's claim on a node's capacity.
 struct VolumeClaim {
     Demand* demand;
     double askedUnitsPerSecond = 0;
     double weight = 1;
 };
-/// Deals a budget out: what each already has as fair (`reserved` in all) first, scaled where it does not fit,
-/// then by weight up to what each asks.
+/// Distributes `budget` units per second among the claims. Each keeps its present fairUnitsPerSecond, which
+/// add up to `reserved`; they are scaled down if they exceed the budget. The rest is distributed by weight,
+/// to each at most what it asks.
 inline void distributeByWeight(std::vector<VolumeClaim>& claims, double budget, double reserved) {
     if (reserved > budget) {
         for (VolumeClaim& k : claims) k.demand->fairUnitsPerSecond *= budget / reserved;
@@ -245,27 +259,29 @@
         }
     }
 }
+/// The unit in which requests are queued and bids are made: a shard, or one weighted holder of a shard. Units
+/// are counted for this host unless said otherwise.
 struct Cell {
     CellId id = 0;
-    std::size_t cellsWithHoldersIndex = 0;         // among the cells that have holders
-    bool inRounds = false;                         // a round may change it
+    std::size_t cellsWithHoldersIndex = 0;         // index in Fleet::cellsWithHolders, if it has holders
+    bool inRounds = false;                         // it is in Fleet::cellsInRounds
     std::set<std::pair<double, RequestId>> queue;  // by due time
     double queuedUnits = 0;
     double offeredThisRound = 0;
     double offeredLastRound = 0;
-    double tokensSpent = 0;             // tokens, this round
-    double overloadUnitsLastRound = 0;  // units served under pressure in the last round
-    Bid currentRound;                   // what this round was served
-    Bid ownBid;                         // this host's last bid
-    Bid bidSum;                         // all bidders', as last told
-    bool saturated = false;             // most was served late, all bidders together
-    double bidSumMs = -std::numeric_limits<double>::infinity();
+    double tokensSpent = 0;             // units admitted this round
+    double overloadUnitsLastRound = 0;  // units served under overload
+    Bid currentRound;                   // units served so far in this round
+    Bid ownBid;                         // this host's bid after the last round
+    Bid bidSum;                         // of all bidders, as last received
+    bool saturated = false;             // most units of all bidders were served under overload
+    double bidSumMs = -std::numeric_limits<double>::infinity();  // when bidSum was received
     double probabilitiesUpdatedMs = -std::numeric_limits<double>::infinity();
     std::map<std::string, Demand> volumes;
-    std::vector<Node*> holders;  // of the table of nodes: those that hold this cell
+    std::vector<Node*> holders;  // owned by Fleet::nodes
 
-    /// Counts a request for the bids. A client's late repeat, of 0 units, shows only that its volume is
-    /// there.
+    /// Counts a request for the bids. With 0 units, as for a client's late retry, it only registers the
+    /// volume.
     void addDemand(const std::string& volume, double worth, double units) {
         Demand& d = volumes[volume];
         if (units <= 0) return;
@@ -273,7 +289,7 @@
         d.offeredThisRound += units;
         d.byWorth[worth].offeredThisRound += units;
     }
-    /// Another round would change nothing of it.
+    /// Whether the end of another round would change nothing in the cell.
     bool isIdle() const {
         return volumes.empty() && !saturated &&
                offeredLastRound + offeredThisRound + ownBid.offeredUnits + ownBid.servedUnits +
@@ -288,43 +304,45 @@
         probabilitiesUpdatedMs = -std::numeric_limits<double>::infinity();
     }
 };
+/// What this host knows of a volume, over all cells, in units. The served units halve each round, so that
+/// older observations count less.
 struct Volume {
     int planNo = 0;
-    int hostCount = 1;
-    double servedViaThisHost =
-        0;  // units served through this host, and through others where this one also asks
-    double servedViaOtherHosts = 0;
-    double offeredThisRound = 0;  // units offered this round and last, all cells
+    int hostCount = 1;  // hosts that receive requests for the volume
+    double servedViaThisHost = 0;
+    double servedViaOtherHosts = 0;  // by nodes that this host also uses
+    double offeredThisRound = 0;
     double offeredLastRound = 0;
     double lastSeenMs = 0;
 
-    /// What was seen served is forgotten by halves.
     void endRound() {
         offeredLastRound = std::exchange(offeredThisRound, 0);
         servedViaThisHost /= 2;
         servedViaOtherHosts /= 2;
     }
 };
-/// The requests of each key that go one at a time, in the order taken.
+/// Queues of ordered requests by key, in order of arrival. Requests with the same key run one at a time.
 class KeyQueues {
 public:
     void enqueue(const std::string& key, const RequestId& id) {
         queues_[key].entries.push_back({id, 0, false});
     }
-    /// Whether it is this request's turn; a first attempt also waits for the key's rest.
+    /// Whether it is this request's turn. A first attempt also waits until the key's pause is over.
     bool mayStart(const std::string& key, const RequestId& id, bool first, double nowMs) const {
         const auto lane = queues_.find(key);
         if (lane == queues_.end() || lane->second.entries.empty()) return true;
         return lane->second.entries.front().id == id && (!first || nowMs >= lane->second.pausedUntilMs);
     }
     void attemptSent(const std::string& key, const RequestId& id) { updateEntry(key, id, 1, false); }
+    /// Records the end of an attempt; first attempts with the key then wait until `restUntilMs`.
     void attemptEnded(const std::string& key, const RequestId& id, double restUntilMs) {
         double& rest = queues_[key].pausedUntilMs;
         rest = std::max(rest, restUntilMs);
         updateEntry(key, id, -1, false);
     }
+    /// Removes the request once its attempts have ended, too.
     void requestFinished(const std::string& key, const RequestId& id) { updateEntry(key, id, 0, true); }
-    /// Lets go of keys without requests whose rest is over.
+    /// Erases keys that have no requests and no pause left.
     void eraseIdle(double nowMs) {
         std::erase_if(queues_, [nowMs](const auto& e) {
             return e.second.entries.empty() && nowMs >= e.second.pausedUntilMs;
@@ -355,24 +373,25 @@
     std::map<std::string, KeyQueue> queues_;
 };
 
-/// FNV-1a: a number for a name, the same on every host.
+/// FNV-1a, the same on every host.
 inline std::uint64_t fnv1aHash(const std::string& name) {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
     return hash;
 }
 
-/// SplitMix64: the same seed gives the same draws on every machine.
+/// SplitMix64: the same seed gives the same numbers on every machine.
 class Random {
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
-    /// From 0 up to 1.
+    /// Returns a number in [0, 1).
     double uniform() {
         std::uint64_t z = (state_ += 0x9e3779b97f4a7c15ULL);
         z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
         z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
         return static_cast<double>((z ^ (z >> 31)) >> 11) * 0x1.0p-53;
     }
+    /// Returns an integer in [0, count).
     int uniformInt(int count) { return static_cast<int>(uniform() * count); }
 
 private:
