--- a/src/limedrum/fleet.h
+++ b/src/limedrum/fleet.h
@@ -24,40 +24,40 @@
 
     /// Returns the cells with holders, ordered by id.
     std::vector<Cell*> cellsById() const {
-        std::vector<Cell*> out = cellsWithHolders;
-        std::sort(out.begin(), out.end(), [](const Cell* a, const Cell* b) { return a->id < b->id; });
-        return out;
+        std::vector<Cell*> sorted = cellsWithHolders;
+        std::sort(sorted.begin(), sorted.end(), [](const Cell* a, const Cell* b) { return a->id < b->id; });
+        return sorted;
     }
     /// Returns all nodes, ordered by id.
     std::vector<const Node*> nodesById() const {
-        std::vector<const Node*> out;
-        for (const auto& [id, n] : nodes) out.push_back(&n);
-        std::sort(out.begin(), out.end(), [](const Node* a, const Node* b) { return a->id < b->id; });
-        return out;
+        std::vector<const Node*> sorted;
+        for (const auto& [id, node] : nodes) sorted.push_back(&node);
+        std::sort(sorted.begin(), sorted.end(), [](const Node* a, const Node* b) { return a->id < b->id; });
+        return sorted;
     }
     /// Returns the cell, creating it if needed, and includes it in rounds until dropIdleCells() drops it. All
     /// changes to cells must go through here, so that no cell without holders stays in the table for good.
     Cell& cellForUpdate(CellId id) {
-        Cell& c = findOrCreateCell(id);
-        if (!c.inRounds) cellsInRounds.insert(id);
-        c.inRounds = true;
-        return c;
+        Cell& cell = findOrCreateCell(id);
+        if (!cell.inRounds) cellsInRounds.insert(id);
+        cell.inRounds = true;
+        return cell;
     }
 
     /// Adds or updates a node as the node list describes it, except for its start time.
     Node& upsertNode(const NodeEntry& entry) {
-        Node& n = nodes[entry.node];
-        const CellId cell = entry.weight > 0 ? holderCellId(entry.node) : entry.shard;
-        if (n.inCellHolders && (n.cell != cell || n.shard != entry.shard)) detachHolder(n);
-        n.id = entry.node;
-        n.cell = cell;
-        n.shard = entry.shard;
-        n.weight = entry.weight;
-        n.zone = entry.zone;
-        n.state = entry.state;
-        if (!n.inCellHolders) attachHolder(n);
-        if (n.state == NodeState::gone) goneNodes.insert(n.id);
-        return n;
+        Node& node = nodes[entry.node];
+        const CellId cellId = entry.weight > 0 ? holderCellId(entry.node) : entry.shard;
+        if (node.inCellHolders && (node.cell != cellId || node.shard != entry.shard)) detachHolder(node);
+        node.id = entry.node;
+        node.cell = cellId;
+        node.shard = entry.shard;
+        node.weight = entry.weight;
+        node.zone = entry.zone;
+        node.state = entry.state;
+        if (!node.inCellHolders) attachHolder(node);
+        if (node.state == NodeState::gone) goneNodes.insert(node.id);
+        return node;
     }
 
     /// Marks all nodes as gone, before the nodes of a full list are added.
@@ -86,9 +86,9 @@
     void dropIdleCells() {
         std::erase_if(cellsInRounds, [&](CellId id) {
             Cell& c = cells.at(id);
-            const auto pressed = [](const Node* n) { return n->overloadMsLastRound > 0; };
+            const auto wasOverloaded = [](const Node* n) { return n->overloadMsLastRound > 0; };
             if (!c.isIdle() || cellsWithWork.contains(id) ||
-                std::any_of(c.holders.begin(), c.holders.end(), pressed))
+                std::any_of(c.holders.begin(), c.holders.end(), wasOverloaded))
                 return false;
             c.inRounds = false;
             if (c.holders.empty()) cells.erase(id);
@@ -148,10 +148,10 @@
             cellsWithHolders.pop_back();
             cellForUpdate(n.cell);  // so that dropIdleCells() erases it once it has no work
         }
-        const auto at = weightedHolders.find(n.shard);
-        if (at == weightedHolders.end()) return;
-        std::erase(at->second, &n);
-        if (at->second.empty()) weightedHolders.erase(at);
+        const auto holders = weightedHolders.find(n.shard);
+        if (holders == weightedHolders.end()) return;
+        std::erase(holders->second, &n);
+        if (holders->second.empty()) weightedHolders.erase(holders);
     }
 };
 
--- a/src/limedrum/state.h
+++ b/src/limedrum/state.h
@@ -26,25 +26,25 @@
     std::deque<std::pair<double, double>> entries;  // time in ms and units, oldest first
     double totalUnits = 0;
 
-    void add(double ms, double more) {
-        if (more <= 0) return;
-        entries.emplace_back(ms, more);
-        totalUnits += more;
+    void add(double ms, double units) {
+        if (units <= 0) return;
+        entries.emplace_back(ms, units);
+        totalUnits += units;
     }
     void dropBefore(double beforeMs) {
         while (!entries.empty() && entries.front().first < beforeMs) dropOldest();
     }
-    /// Removes up to `wanted` units, oldest first, and returns how many were removed.
-    double takeOldest(double wanted) {
-        double taken = 0;
-        while (!entries.empty() && taken < wanted) {
-            const double part = std::min(wanted - taken, entries.front().second);
-            taken += part;
-            totalUnits -= part;
-            entries.front().second -= part;
+    /// Removes up to `maxUnits` units, oldest first, and returns how many were removed.
+    double takeOldest(double maxUnits) {
+        double removed = 0;
+        while (!entries.empty() && removed < maxUnits) {
+            const double units = std::min(maxUnits - removed, entries.front().second);
+            removed += units;
+            totalUnits -= units;
+            entries.front().second -= units;
             if (entries.front().second <= 0) dropOldest();
         }
-        return taken;
+        return removed;
     }
 
 private:
@@ -68,17 +68,18 @@
     double bucketLevel = 0;  // of a token bucket; empty when its host starts
     double lastRefillMs = -std::numeric_limits<double>::infinity();
 
-    /// Returns the units left in the fraction `part` of budget `b`. Consumed units count `lagMs` beyond the
+    /// Returns the units left in a `fraction` of `budget`. Consumed units count `lagMs` beyond the
     /// window, because they may be used that much later. A bucket that was never refilled has been filling
     /// since `startMs`.
-    double availableUnits(double nowMs, const Budget& b, double part, double startMs, double lagMs) {
-        const double whole = part * b.units;
+    double availableUnits(double nowMs, const Budget& budget, double fraction, double startMs, double lagMs) {
+        const double capacity = fraction * budget.units;
         // An imported bucket has been filling since before this host started.
         const double sinceMs = std::isfinite(lastRefillMs) ? lastRefillMs : startMs;
-        bucketLevel = std::min(whole, bucketLevel + whole * std::max(0.0, nowMs - sinceMs) / b.windowMs);
+        bucketLevel =
+            std::min(capacity, bucketLevel + capacity * std::max(0.0, nowMs - sinceMs) / budget.windowMs);
         lastRefillMs = nowMs;
-        used.dropBefore(nowMs - b.windowMs - lagMs);
-        return b.isTokenBucket ? bucketLevel : std::max(0.0, whole - used.totalUnits);
+        used.dropBefore(nowMs - budget.windowMs - lagMs);
+        return budget.isTokenBucket ? bucketLevel : std::max(0.0, capacity - used.totalUnits);
     }
     void consume(double nowMs, double units) {
         bucketLevel -= units;
@@ -239,23 +240,23 @@
 /// to each at most what it asks.
 inline void distributeByWeight(std::vector<VolumeClaim>& claims, double budget, double reserved) {
     if (reserved > budget) {
-        for (VolumeClaim& k : claims) k.demand->fairUnitsPerSecond *= budget / reserved;
+        for (VolumeClaim& claim : claims) claim.demand->fairUnitsPerSecond *= budget / reserved;
     }
     budget -= std::min(budget, reserved);
-    for (bool again = true; again && budget > 0;) {
-        again = false;
+    for (bool redistribute = true; redistribute && budget > 0;) {
+        redistribute = false;
         double weights = 0;
-        for (const VolumeClaim& k : claims)
-            weights += k.demand->fairUnitsPerSecond < k.askedUnitsPerSecond ? k.weight : 0;
+        for (const VolumeClaim& claim : claims)
+            weights += claim.demand->fairUnitsPerSecond < claim.askedUnitsPerSecond ? claim.weight : 0;
         if (weights <= 0) break;
         const double each = budget / weights;
-        for (VolumeClaim& k : claims) {
-            if (k.demand->fairUnitsPerSecond >= k.askedUnitsPerSecond) continue;
-            const double take =
-                std::min(each * k.weight, k.askedUnitsPerSecond - k.demand->fairUnitsPerSecond);
-            again = again || take < each * k.weight;
-            k.demand->fairUnitsPerSecond += take;
-            budget -= take;
+        for (VolumeClaim& claim : claims) {
+            if (claim.demand->fairUnitsPerSecond >= claim.askedUnitsPerSecond) continue;
+            const double granted =
+                std::min(each * claim.weight, claim.askedUnitsPerSecond - claim.demand->fairUnitsPerSecond);
+            redistribute = redistribute || granted < each * claim.weight;
+            claim.demand->fairUnitsPerSecond += granted;
+            budget -= granted;
         }
     }
 }
@@ -328,16 +329,17 @@
         queues_[key].entries.push_back({id, 0, false});
     }
     /// Whether it is this request's turn. A first attempt also waits until the key's pause is over.
-    bool mayStart(const std::string& key, const RequestId& id, bool first, double nowMs) const {
-        const auto lane = queues_.find(key);
-        if (lane == queues_.end() || lane->second.entries.empty()) return true;
-        return lane->second.entries.front().id == id && (!first || nowMs >= lane->second.pausedUntilMs);
+    bool mayStart(const std::string& key, const RequestId& id, bool firstAttempt, double nowMs) const {
+        const auto queue = queues_.find(key);
+        if (queue == queues_.end() || queue->second.entries.empty()) return true;
+        return queue->second.entries.front().id == id &&
+               (!firstAttempt || nowMs >= queue->second.pausedUntilMs);
     }
     void attemptSent(const std::string& key, const RequestId& id) { updateEntry(key, id, 1, false); }
-    /// Records the end of an attempt; first attempts with the key then wait until `restUntilMs`.
-    void attemptEnded(const std::string& key, const RequestId& id, double restUntilMs) {
-        double& rest = queues_[key].pausedUntilMs;
-        rest = std::max(rest, restUntilMs);
+    /// Records the end of an attempt; first attempts with the key then wait until `pausedUntilMs`.
+    void attemptEnded(const std::string& key, const RequestId& id, double pausedUntilMs) {
+        double& pausedUntil = queues_[key].pausedUntilMs;
+        pausedUntil = std::max(pausedUntil, pausedUntilMs);
         updateEntry(key, id, -1, false);
     }
     /// Removes the request once its attempts have ended, too.
@@ -360,12 +362,12 @@
         std::deque<Entry> entries;
         double pausedUntilMs = 0;
     };
-    void updateEntry(const std::string& key, const RequestId& id, int outChange, bool finished) {
+    void updateEntry(const std::string& key, const RequestId& id, int inFlightChange, bool finished) {
         auto& entries = queues_[key].entries;
         const auto it =
             std::find_if(entries.begin(), entries.end(), [&](const Entry& e) { return e.id == id; });
         if (it == entries.end()) return;
-        it->attemptsInFlight += outChange;
+        it->attemptsInFlight += inFlightChange;
         it->finished = it->finished || finished;
         if (it->finished && it->attemptsInFlight <= 0) entries.erase(it);
     }
