--- a/tests/limedrum/action_regression_test.cpp
+++ b/tests/limedrum/action_regression_test.cpp
@@ -1,8 +1,8 @@
-// Guards against changes of behaviour that nobody meant. Three hosts serve a fleet with one holder a shard
-// and no weights told, through surges, full queues, silent and lost answers, crashes, drains and
-// replacements, all drawn from a seed. The hash of everything that they did is that of the module before
-// holders had weights (commit da9bb6c). A change that is meant to alter decisions there puts the new hash in
-// its place and says so.
+// Guards against unintended changes of behaviour. Three hosts serve a fleet with one unweighted holder per
+// shard, through surges, full queues, silent nodes, lost answers, crashes, drains and replacements, all drawn
+// from a seed. The hash of all their actions must equal the recorded one, which is that of the module before
+// weighted holders were added (commit da9bb6c). A commit that changes these decisions on purpose records the
+// new hash and says so.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -55,12 +55,13 @@
     return s;
 }
 
-/// Events due at a host, by time.
+/// An event that is due at a host.
 struct Due {
     int host;
     Event event;
 };
 
+/// The hosts, their nodes and clients, and the events under way between them.
 struct World {
     explicit World(std::uint64_t seed) : random(seed) {
         for (int host = 0; host < kHosts; ++host) start(host, 1'000'000);
@@ -68,6 +69,7 @@
     double draw() { return static_cast<double>(random() >> 11) * 0x1.0p-53; }
     int below(int most) { return static_cast<int>(draw() * most); }
 
+    /// Starts or restarts a host. Events for its previous instance are discarded by their epoch.
     void start(int host, double nowMs) {
         hosts.erase(host);
         hosts.emplace(host, Scheduler(settingsOf(host), 77 + static_cast<std::uint64_t>(host), nowMs));
@@ -83,6 +85,7 @@
         for (const Action& action : hosts.at(host).handle(nowMs, std::span(&event, 1)))
             take(host, nowMs, action);
     }
+    /// Adds an action to the hash and carries it out.
     void take(int host, double nowMs, const Action& action) {
         hash.add(static_cast<double>(host * 10 + static_cast<int>(action.index())));
         if (const auto* send = std::get_if<SendAttempt>(&action)) {
@@ -139,6 +142,7 @@
             hash.add(log->text);
         }
     }
+    /// Reports a node's state to all hosts, to each up to 100 ms later.
     void list(double nowMs, int shard, NodeId node, NodeState state) {
         for (int host = 0; host < kHosts; ++host)
             due.emplace(
@@ -150,6 +154,7 @@
                             NodeListKind::update,
                             {{.node = node, .shard = shard, .state = state, .bootMs = bornMs[shard]}}}}));
     }
+    /// Replaces the node of a shard: drains it, starts a new one and removes the old one.
     void replace(int shard, double nowMs) {
         const NodeId old = nodeOf(shard);
         list(nowMs, shard, old, NodeState::draining);
@@ -158,6 +163,7 @@
         list(nowMs + 200, shard, nodeOf(shard), NodeState::serving);
         list(nowMs + 900, shard, old, NodeState::gone);
     }
+    /// Sends one random request; during a surge to one of three volumes only.
     void request(double nowMs, bool surge) {
         const int volume = surge ? below(3) : below(24);
         const int host = (volume + below(2)) % kHosts;
@@ -218,8 +224,8 @@
 
 }  // namespace
 
-// The recorded figures stand for all actions: a commit that changes decisions on purpose records them anew.
-TEST_CASE("with one holder a shard and no weights every action is what it was") {
+// The recorded hashes, by seed, cover all actions.
+TEST_CASE("with one unweighted holder per shard all actions are the recorded ones") {
     for (const auto& [seed, hash] :
          {std::pair(1ULL, 8325496100150768039ULL), std::pair(2ULL, 5095435467536585800ULL)}) {
         World world(seed);
--- a/tests/limedrum/fleet_test.cpp
+++ b/tests/limedrum/fleet_test.cpp
@@ -1,4 +1,4 @@
-// Many hosts together: what a budget that all share lets through, and what one host does among hundreds.
+// Many hosts together: the limits of shared budgets, and the behaviour of one host among hundreds.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,10 +12,11 @@
 namespace limedrum::testing {
 namespace {
 
-/// Several hosts and the messages between them. Every send is answered at once.
+/// Several hosts with one node, and the messages between the hosts. Every attempt is answered at once.
 class Fleet {
 public:
-    /// `lateMs`: a send reaches its node up to so much later, as its connection has to come up.
+    /// `lostPart` is the fraction of messages that are lost. An attempt reaches the node up to `lateMs` after
+    /// it was sent, as it does when its connection has to be opened first.
     Fleet(Settings settings, double lostPart, double lateMs = 0)
         : settings_(std::move(settings)), lostPart_(lostPart), lateMs_(lateMs) {
         for (int i = 0; i < settings_.hosts; ++i) hosts_.push_back(nullptr);
@@ -28,7 +29,7 @@
             NodeListEvent{NodeListKind::restored, {{.node = 100, .shard = 0, .bootMs = bootMs}}});
     }
     void kill(int host) { hosts_[host].reset(); }
-    /// The node has started then, and all hosts that run are told.
+    /// Reports a restart of the node to all running hosts.
     void tellStart(double nowMs, double bootMs) {
         for (int i = 0; i < settings_.hosts; ++i)
             if (hosts_[i] != nullptr)
@@ -44,7 +45,7 @@
         askedMs_[r.id] = nowMs;
         act(host, nowMs, r);
     }
-    /// Delivers what is due, and lets every host look at the clock.
+    /// Delivers the messages that are due and lets every host handle the time.
     void tick(double nowMs) {
         while (!mail_.empty() && mail_.begin()->first <= nowMs) {
             const auto [to, event] = mail_.begin()->second;
@@ -55,6 +56,7 @@
             if (hosts_[i] != nullptr) act(i, nowMs, TimerFiredEvent{1});
         }
     }
+    /// Returns the most units that reached the node within any window of this length.
     double most(double windowMs) const {
         auto came = sent_;
         std::sort(came.begin(), came.end());
@@ -75,7 +77,7 @@
 
     int asked() const { return asked_; }
     int messages() const { return messages_; }
-    /// The longest that a request was held that was then refused, in ms.
+    /// Returns the longest time after which a request was refused, in ms.
     double longestRefusedMs() const { return longestRefusedMs_; }
 
 private:
@@ -130,7 +132,8 @@
     return s;
 }
 
-/// Hosts crash and come back all the time; the busy few ask for far more than there is.
+/// Starts all hosts and sends requests through a quarter of them, for far more units than the budget has.
+/// With `crashes`, hosts crash and restart in turn. Returns the units sent.
 double runFleet(Fleet& fleet, int hosts, double fromMs, double untilMs, double bootMs, bool crashes) {
     for (int i = 0; i < hosts; ++i) fleet.start(i, fromMs, bootMs);
     int step = 0;
@@ -146,30 +149,30 @@
 Settings coldFleet(int hosts) {
     Settings s = fleetSettings(hosts);
     s.rules.coldShare = 0.25;
-    s.rules.warmWithinMs = 1e6;  // as good as no growth: the budget stays what it is
+    s.rules.warmWithinMs = 1e6;  // so slow that the budget stays constant
     s.rules.overloadFactor = 2;
     s.rules.fallMs = 1000;
     s.coldUnits = 40;
     return s;
 }
 
-TEST(SharedBudgets, AColdNodeGetsWorkLongBeforeItIsWarmWhereTheEvenPartIsUnderOneRequest) {
+TEST(SharedBudgets, AColdNodeGetsWorkWhenTheEvenSplitIsLessThanOneRequest) {
     Fleet fleet(coldFleet(60), 0);
     const double units = runFleet(fleet, 60, 10000, 16000, 9000, false);
-    EXPECT_GT(units, 60);  // of 40 a second for six seconds; each host's even part is 0.7 a second
+    EXPECT_GT(units, 60);  // of 40 per second for 6 s; an even split would give each host 0.7 per second
     EXPECT_LE(fleet.most(1000), 41);
 }
 
-TEST(SharedBudgets, AColdNodesTotalIsSafeThoughHostsCrashAndMessagesAreLost) {
+TEST(SharedBudgets, AColdNodesBudgetIsKeptWhenHostsCrashAndMessagesAreLost) {
     Fleet fleet(coldFleet(12), 0.3);
     const double units = runFleet(fleet, 12, 10000, 20000, 9000, true);
     EXPECT_GT(units, 20);
     EXPECT_LE(fleet.most(1000), 41);
 }
 
-// The sum over the fleet, at three sizes: a burst from all hosts to a node that joins and comes back cold,
-// with a third of the messages lost and hosts that crash and come back knowing nothing of what was sent.
-TEST(SharedBudgets, AColdNodeIsSafeAtThreeThirtyAndThreeHundredHosts) {
+// All hosts send a burst to a node that joins and later restarts. A third of the messages are lost, and hosts
+// crash and restart without knowledge of what they sent.
+TEST(SharedBudgets, AColdNodesBudgetIsKeptWithThreeThirtyAndThreeHundredHosts) {
     for (const int hosts : {3, 30, 300}) {
         for (const double lateMs : {0.0, 250.0}) {
             Fleet fleet(coldFleet(hosts), 0.3, lateMs);
@@ -183,7 +186,7 @@
                 if (t == 14000) fleet.tellStart(t, bootMs = 13900);
                 fleet.tick(t + 4);
             }
-            // 20 requests of mean work, and what the rule leaves to chance where connections come up late.
+            // 20 requests of mean size; with late connections two standard deviations and two requests more.
             const double requests = 40 / 2.0;
             const double most = lateMs > 0 ? 2 * (requests + 2 * std::sqrt(requests) + 2) : 41;
             EXPECT_LE(fleet.most(1000), most) << hosts << " hosts, late " << lateMs;
@@ -192,7 +195,7 @@
     }
 }
 
-TEST(SharedBudgets, ALimitsTotalIsSafeThoughHostsCrashAndMessagesAreLost) {
+TEST(SharedBudgets, ALimitIsKeptWhenHostsCrashAndMessagesAreLost) {
     Settings s = fleetSettings(12);
     s.plans[0] = {.rate = 10, .limit = 40, .limitDepth = 80, .limitSlack = 8};
     Fleet fleet(s, 0.3);
@@ -202,7 +205,7 @@
         EXPECT_LE(fleet.most(windowMs), 80 + 8 + 40 * windowMs / 1000);
 }
 
-TEST(SharedBudgets, ALimitIsUsedThoughOneHostCarriesAllOfIt) {
+TEST(SharedBudgets, ALimitIsUsedWhenAllRequestsComeThroughOneHost) {
     Settings s = fleetSettings(16);
     s.plans[0] = {.rate = 10, .limit = 40, .limitDepth = 80, .limitSlack = 8};
     Fleet fleet(s, 0);
@@ -211,30 +214,30 @@
         fleet.ask(5, t, 2);
         fleet.tick(t + 2);
     }
-    EXPECT_GT(fleet.total(), 0.4 * 40 * 12);  // its even part is a sixteenth
+    EXPECT_GT(fleet.total(), 0.4 * 40 * 12);  // an even split would give it a sixteenth
     EXPECT_LE(fleet.most(12000), 80 + 8 + 40 * 12);
 }
 
-// Guards against held requests that ask their keepers again and again until their aim: over the limit, a
-// fleet of 100 hosts sent 15,000 asks a second, and what got units at last got them too late.
-TEST(SharedBudgets, WhatIsOverALimitIsRefusedAtOnceAndAsksEachKeeperOnce) {
+// Guards against queued requests that ask the coordinators again and again until their aim: over the limit, a
+// fleet of 100 hosts sent 15,000 messages per second, and grants arrived too late.
+TEST(SharedBudgets, ARequestOverALimitAsksEachCoordinatorOnceAndIsRefusedAtOnce) {
     Settings s = fleetSettings(100);
     s.plans[0] = {.rate = 1.3, .limit = 10, .limitDepth = 48, .limitSlack = 8};
     Fleet fleet(s, 0);
     for (int i = 0; i < 100; ++i) fleet.start(i, 0, 0);
     for (int step = 0; step < 3000; ++step) {
         if (step % 15 == 0)
-            fleet.ask(5 + step / 15 % 3, 4 * step, 2);  // 33 units a second through three hosts
+            fleet.ask(5 + step / 15 % 3, 4 * step, 2);  // 33 units per second through three hosts
         fleet.tick(4 * step + 2);
     }
     EXPECT_LE(fleet.messages(),
-              4 * fleet.asked());              // two asks and their answers; each round's bids beside them
-    EXPECT_LT(fleet.longestRefusedMs(), 150);  // two rounds of messages of 22 ms at most each way
+              4 * fleet.asked());  // two requests to coordinators and their answers; the rest covers the bids
+    EXPECT_LT(fleet.longestRefusedMs(), 150);  // two exchanges of at most 22 ms each way
     EXPECT_GT(fleet.total(), 0.5 * 10 * 12);
     EXPECT_LE(fleet.most(12000), 48 + 8 + 10 * 12);
 }
 
-TEST(SharedBudgets, WhatNoKeeperDealtAndAbsurdAsksArePassedOver) {
+TEST(SharedBudgets, GrantsOfOtherHostsAndImplausibleMessagesAreIgnored) {
     Settings s = coldFleet(60);
     Driver d(s, 1, 10000, 1);
     d.give(10000, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 9000}}});
@@ -253,7 +256,7 @@
 
 // ---- One host among hundreds ----
 
-TEST(Size, OneHostAmongHundredsDoesAndKeepsLittle) {
+TEST(LargeFleet, OneHostAmongHundredsSendsAndStoresLittle) {
     constexpr int kHosts = 300;
     constexpr int kCells = 45;
     Settings s = fleetSettings(kHosts);
@@ -272,7 +275,7 @@
             d.outcome(at + 20, id, 0, NodeId(100 + requests % kCells), Outcome::done, 20);
         }
         d.pass(round * 2000.0 + 2001, 10);
-        for (int peer = 0; peer < kHosts; ++peer) {  // all bid for all, whoever gathers them
+        for (int peer = 0; peer < kHosts; ++peer) {  // all bid for all cells, whoever the auctioneer is
             std::string text = "b3 " + std::to_string(round + 1);
             for (int cell = 0; cell < 10; ++cell)
                 text += ' ' + std::to_string((peer + cell) % kCells) + ":20:0:20:20:0:10";
@@ -285,12 +288,12 @@
         }
         table = std::max(table, d.tableSize());
     }
-    EXPECT_LT(actions, 700U);  // one sum for each bidder at most, and its own few requests
+    EXPECT_LT(actions, 700U);  // at most one sum for each bidder, and few requests of its own
     EXPECT_LT(bytes, 10 * 300 * 60U);
     EXPECT_LT(table, 400U);
 }
 
-TEST(Size, TheFewRequestsAtLeastGiveWayToAnEvenPartAmongTheBidders) {
+TEST(LargeFleet, TheMinimumRequestsPerRoundShrinkToAnEvenPartAmongManyBidders) {
     const auto passed = [](int bidders) {
         Settings s = fleetSettings(400);
         Driver d(s, 1, 0, 1);
@@ -317,10 +320,10 @@
     EXPECT_LE(passed(350) * 2, passed(4));
 }
 
-// Guards against a jammed node that shows no pressure as it serves next to nothing: what is out there
-// unanswered counts, and the host that gathers the bids tells all hosts, as most of those that send there
-// next did not bid.
-TEST(Size, WorkThatNobodyAnswersIsBidAsPressureAndACrowdedNodesSumGoesToAllHosts) {
+// Guards against a hanging node that shows no overload because it serves next to nothing: unanswered attempts
+// count as overload. The auctioneer sends the sum to all hosts, as most of those that send there next did not
+// bid.
+TEST(LargeFleet, UnansweredWorkIsBidAsOverloadAndASaturatedNodesSumGoesToAllHosts) {
     constexpr int kHosts = 50;
     Driver d(fleetSettings(kHosts), 1, 0, 1);
     d.give(900, request("a", 8900, 0));
@@ -329,29 +332,28 @@
     bool told = false;
     for (const Action& a : d.all) {
         const auto* tell = std::get_if<SendPeerMessage>(&a);
-        told = told || (tell != nullptr && tell->text.ends_with(":0:20:10"));  // served, pressed, hosts
+        told = told || (tell != nullptr && tell->text.ends_with(":0:20:10"));  // served, overload, bidders
     }
     EXPECT_TRUE(told);
-    const auto sumsFor =
-        [&](int pressed) {  // of a round that this host gathers: it changes from round to round
-            for (int round = 2; round < 2000; ++round) {
-                d.pass(2000.0 * round + 1, 50);
-                d.all.clear();
-                const std::string bid =
-                    "b3 " + std::to_string(round) + " 0:200:0:200:30:" + std::to_string(pressed);
-                for (int peer = 1; peer < 4; ++peer)
-                    d.give(2000.0 * round + 5, PeerMessageEvent{peer, bid + ":10"});
-                d.pass(2000.0 * round + 90, 5);
-                if (const int sums = Driver::count<SendPeerMessage>(d.all); sums > 2) return sums;
-            }
-            return 0;
-        };
+    const auto sumsFor = [&](int pressed) {  // in a round in which this host is the auctioneer
+        for (int round = 2; round < 2000; ++round) {
+            d.pass(2000.0 * round + 1, 50);
+            d.all.clear();
+            const std::string bid =
+                "b3 " + std::to_string(round) + " 0:200:0:200:30:" + std::to_string(pressed);
+            for (int peer = 1; peer < 4; ++peer)
+                d.give(2000.0 * round + 5, PeerMessageEvent{peer, bid + ":10"});
+            d.pass(2000.0 * round + 90, 5);
+            if (const int sums = Driver::count<SendPeerMessage>(d.all); sums > 2) return sums;
+        }
+        return 0;
+    };
     EXPECT_EQ(sumsFor(0), 3);
     EXPECT_EQ(sumsFor(200), kHosts - 1);
 }
 
-/// Writes so many new objects, one each `everyMs`, each answered after `tookMs`; how many went to nodes with
-/// lower numbers than `node`.
+/// Sends `count` requests for new objects, one each `everyMs`, each answered after `tookMs`. Returns how many
+/// went to nodes with ids below `node`.
 int newObjectsBelow(Driver& d, NodeId node, double fromMs, int count, double everyMs, double tookMs) {
     int below = 0;
     for (int i = 0; i < count; ++i) {
@@ -367,11 +369,11 @@
     return below;
 }
 
-// Guards against new objects that go to the node whose answer is still owed: what is not answered has no
+// Guards against placing new objects on a node with an overdue answer: an unanswered attempt has no measured
 // delay yet.
-TEST(Size, ANewObjectGoesToANodeThatOwesNoLateAnswer) {
+TEST(LargeFleet, ANewObjectGoesToANodeWithoutAnOverdueAnswer) {
     Driver d(fleetSettings(50), 1, 0, 2);
-    for (int i = 0; i < 20; ++i) {  // both are known, the first is ten times as fast
+    for (int i = 0; i < 20; ++i) {  // teaches the speed of both: the first is ten times as fast
         const RequestId id = "w" + std::to_string(i);
         d.give(100 + 20 * i, request(id, 1100 + 20 * i, i % 2));
         d.outcome(110 + 20 * i, id, 0, NodeId(100 + i % 2), Outcome::done, i % 2 == 0 ? 2 : 20);
@@ -381,25 +383,26 @@
     EXPECT_EQ(newObjectsBelow(d, 101, 1900, 10, 5, 2), 0);
 }
 
-// Guards against a connection for each new object: at size a host has few requests for a node, and each first
-// one pays a handshake there.
-TEST(Size, NewObjectsGoToNodesThatAnsweredThisHostAMomentAgo) {
-    const auto known = [](double restMs) {  // of 40 new objects, those at the three nodes heard before
-        Driver d(fleetSettings(100), 1, 20000, 20);
-        for (int i = 0; i < 30; ++i) {
-            const RequestId id = "r" + std::to_string(i);
-            const double at = 20100 + 20 * i;
-            d.give(at, request(id, at + 900, i % 3));
-            d.outcome(at + 10, id, 0, NodeId(100 + i % 3), Outcome::done, 10);
-        }
-        d.pass(20700 + restMs, 50);
-        return newObjectsBelow(d, 103, 20700 + restMs, 40, 20, 10);
-    };
+// Guards against opening a connection for each new object: in a large fleet a host has few requests for each
+// node, and the first one pays for a handshake.
+TEST(LargeFleet, NewObjectsGoToNodesThatAnsweredThisHostRecently) {
+    const auto known =
+        [](double restMs) {  // of 40 new objects, those on the three nodes that answered before
+            Driver d(fleetSettings(100), 1, 20000, 20);
+            for (int i = 0; i < 30; ++i) {
+                const RequestId id = "r" + std::to_string(i);
+                const double at = 20100 + 20 * i;
+                d.give(at, request(id, at + 900, i % 3));
+                d.outcome(at + 10, id, 0, NodeId(100 + i % 3), Outcome::done, 10);
+            }
+            d.pass(20700 + restMs, 50);
+            return newObjectsBelow(d, 103, 20700 + restMs, 40, 20, 10);
+        };
     EXPECT_EQ(known(0), 40);
-    EXPECT_LT(known(30000), 40);  // by then the nodes have closed them
+    EXPECT_LT(known(30000), 40);  // by then the nodes have closed the connections
 }
 
-TEST(Size, ToldPressureThinsAHostThatHearsTheNodeTooSeldomToFeelIt) {
+TEST(LargeFleet, ReportedOverloadThinsAHostThatRarelyGetsAnswersFromTheNode) {
     const auto passed = [](double everyMs, int pressed) {
         Driver d(fleetSettings(50), 1, 0, 1);
         int offered = 0;
@@ -420,9 +423,9 @@
         }
         return static_cast<double>(sends) / offered;
     };
-    EXPECT_LT(passed(700, 400), 0.7);   // told, heard seldom
-    EXPECT_GT(passed(700, 0), 0.95);    // nobody was pressed
-    EXPECT_GT(passed(100, 400), 0.95);  // this host hears for itself that the node is open
+    EXPECT_LT(passed(700, 400), 0.7);   // reported by others, few answers of its own
+    EXPECT_GT(passed(700, 0), 0.95);    // no overload reported
+    EXPECT_GT(passed(100, 400), 0.95);  // its own answers show that the node is not overloaded
 }
 
 }  // namespace
--- a/tests/limedrum/learned_state_test.cpp
+++ b/tests/limedrum/learned_state_test.cpp
@@ -1,4 +1,4 @@
-// What an instance hands to the one that follows it.
+// Export and import of the learned state by an instance and the one that replaces it.
 #include <doctest/doctest.h>
 
 #include "driver.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Requests for cell 0 that its pressed node would thin: how many were refused at once.
+/// Sends requests for cell 0 and returns how many were refused at once.
 int refusedOf(Driver& d, int requests) {
     const int before = d.answers();
     for (int i = 0; i < requests; ++i) d.give(d.nowMs + 1, request("x" + std::to_string(i), d.nowMs + 1000));
@@ -24,7 +24,7 @@
     std::string text;
 };
 
-/// `text` with its first `from` replaced.
+/// Returns `text` with the first occurrence of `from` replaced by `to`.
 std::string with(std::string text, const std::string& from, const std::string& to) {
     const std::size_t at = text.find(from);
     REQUIRE(at != text.npos);
@@ -38,7 +38,8 @@
     return s;
 }
 
-/// Units that a volume's requests, which all come at once, get sent.
+/// Returns the units sent of requests for one volume that all arrive at once. Names that begin with "w" use
+/// volume w, all others volume v.
 double unitsOf(Driver& d, const std::string& name, int requests = 40) {
     double units = 0;
     for (int i = 0; i < requests; ++i) {
@@ -56,9 +57,9 @@
 
 }  // namespace
 
-// Guards against work that a new process holds until it expires, at a node whose rate and pressure the
-// process before it knew: its clients ran out of connections.
-TEST_CASE("memory: the next instance thins a pressed node from its first request on") {
+// Guards against a new process that queues requests until they expire, for a node that the previous process
+// knew to be overloaded: the clients ran out of connections.
+TEST_CASE("learned state: the next instance thins an overloaded node's requests from the first one on") {
     Taught t;
     Driver fresh(plainSettings(), 2, t.old.nowMs), next(plainSettings(), 2, t.old.nowMs);
     REQUIRE(next.takeOver(t.text));
@@ -68,7 +69,7 @@
     CHECK(refusedOf(fresh, 100) < 10);
 }
 
-TEST_CASE("memory: a silent node stays so, and one that has started anew is not taken for the old one") {
+TEST_CASE("learned state: a silent node remains silent, and a restarted one is not taken for it") {
     Driver old(plainSettings(), 1, 10'000);
     old.give(10'000, request("0", 11'000));
     old.outcome(10'001, "0", 0, 100, Outcome::connectFailed);
@@ -78,21 +79,21 @@
     REQUIRE(next.takeOver(text));
     next.give(11'500, request("a", 12'500));
     next.give(11'501, request("b", 12'501));
-    CHECK(next.sends() <= 1);  // a trickle
+    CHECK(next.sends() <= 1);  // one attempt checks whether the node answers again
     CHECK(next.answers() >= 1);
 
     Driver other(plainSettings(), 2, 11'500);
     other.give(11'500, NodeListEvent{NodeListKind::full, {{.node = 100, .shard = 0, .bootMs = 11'400}}});
     REQUIRE(other.takeOver(text));
-    CHECK(other.handOver().find("\nnode 100 ") == std::string::npos);  // nothing is known of it
+    CHECK(other.handOver().find("\nnode 100 ") == std::string::npos);  // nothing was imported for it
 }
 
-// The rule on limits sees one scheduler.
-TEST_CASE("memory: levels of limits go over whole, and both together have no more than one") {
+// A limit applies to both instances together.
+TEST_CASE("learned state: levels of limits move as a whole, and both instances have no more than one") {
     Driver old(limited()), next(limited(), 2, 21'500);
     old.pass(20'000, 50);
     const double first = unitsOf(old, "first");
-    CHECK(first > 30);  // of 40: its parts were full
+    CHECK(first > 30);  // of 40: the buckets were full
     old.pass(21'500, 50);
     const double level = 40 - first + 20 * 1.5 - unitsOf(old, "one", 1);
     REQUIRE(next.takeOver(old.handOver()));
@@ -100,14 +101,14 @@
     CHECK(units > 0.8 * level);
     CHECK(units <= level);
     CHECK(unitsOf(old, "old") == 0);
-    // What nobody had asked for goes over too: the parts of another volume, which are full.
+    // The full buckets of a volume that was never used move, too.
     const double other = unitsOf(next, "w");
     CHECK(other > 30);
     CHECK(unitsOf(old, "w") == 0);
 }
 
-// Guards against a plan's number that the next process does not have: it starts with plans of its own.
-TEST_CASE("memory: a volume of a plan that is no more is passed over") {
+// Guards against a plan number that does not exist in the next process, which has its own settings.
+TEST_CASE("learned state: a volume of a plan that no longer exists is ignored") {
     Settings more = plainSettings();
     more.plans.resize(20'000, {.rate = 10});
     Driver old(more);
@@ -117,10 +118,10 @@
     Driver next(plainSettings(), 2, 10);
     REQUIRE(next.takeOver(old.handOver()));
     CHECK(next.handOver().find("\nvolume v ") == std::string::npos);
-    next.pass(4100, 50);  // two rounds' ends look at it
+    next.pass(4100, 50);  // the ends of two rounds use the volumes
 }
 
-TEST_CASE("memory: a text that is cut, spoilt, stale or absurd changes nothing") {
+TEST_CASE("learned state: a text that is truncated, corrupt, outdated or implausible changes nothing") {
     Taught t;
     const auto taken = [&](const std::string& text) {
         Driver next(plainSettings(), 2, t.old.nowMs);
@@ -136,11 +137,12 @@
     CHECK_FALSE(taken(with(t.text, "learned1", "learned2")));
     CHECK_FALSE(taken(with(t.text, "\nnode ", "\nnone ")));
     CHECK_FALSE(taken(with(t.text, "\nnode 100 0 ", "\nnode 100 0 nan ")));
-    CHECK_FALSE(taken(with(t.text, "\nnode 100 0 ", "\nnode 100 0 1 ")));  // a field too many
+    CHECK_FALSE(taken(with(t.text, "\nnode 100 0 ", "\nnode 100 0 1 ")));  // one field too many
     CHECK_FALSE(taken(with(t.text, "\nnode 100 0 ", "\nnode 100 -1 ")));
     CHECK_FALSE(taken(with(t.text, "\nnode 100 0 ", "\nnode 100 1e300 ")));
-    CHECK_FALSE(taken(with(t.text, "\ndemand 0 v", "\ndemand 7 v")));  // of no cell
-    // Each byte flipped: taken or not, never more than that.
+    CHECK_FALSE(
+        taken(with(t.text, "\ndemand 0 v", "\ndemand 7 v")));  // a cell that the text does not contain
+    // Changes each byte in turn: whether the text is accepted or not, the instance continues to work.
     for (std::size_t i = 0; i < t.text.size(); ++i) {
         std::string text = t.text;
         text[i] = static_cast<char>(text[i] ^ 0x15);
--- a/tests/limedrum/spread_test.cpp
+++ b/tests/limedrum/spread_test.cpp
@@ -1,4 +1,5 @@
-// Shards with several weighted holders: which one gets a request, and what happens as they come, go and fail.
+// Shards with several weighted holders: which of them gets a request, and what happens when holders join,
+// leave or fail. Also the placement of new objects and the release of table entries.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -12,7 +13,7 @@
 
 namespace {
 
-/// One shard, held by so many nodes from 200 on.
+/// A scheduler with one shard, held by nodes 200, 201, ...
 struct Shard {
     explicit Shard(int holders, Settings s = plainSettings(), std::vector<double> weights = {})
         : d(s, 1, 100'000, 0) {
@@ -30,7 +31,7 @@
         r.key = "piece" + std::to_string(piece);
         return r;
     }
-    /// The node that the latest actions send a request to; 0: none.
+    /// Returns the node to which the latest actions send a request; 0: none.
     NodeId sentTo(const RequestId& id) const {
         NodeId out = 0;
         for (const Action& a : d.last)
@@ -38,7 +39,7 @@
                 out = send->node;
         return out;
     }
-    /// Asks for a piece, which is answered at once.
+    /// Requests a piece, answers at once and returns the node used; 0: none.
     NodeId ask(int piece) {
         const RequestEvent r = read(piece);
         d.give(d.nowMs + 1, r);
@@ -46,7 +47,8 @@
         if (node != 0) d.outcome(d.nowMs, r.id, 0, node, Outcome::done, 5);
         return node;
     }
-    /// Answers at once whatever the latest actions sent, and what those answers lead to.
+    /// Answers all attempts of the latest actions at once, and those that the answers cause. Adds the units
+    /// to `units`, by node.
     void answerAll(std::map<NodeId, double>* units = nullptr) {
         std::vector<Action> todo = d.last;
         while (!todo.empty()) {
@@ -59,6 +61,7 @@
             todo.insert(todo.end(), more.begin(), more.end());
         }
     }
+    /// Returns a piece that belongs to the node.
     int pieceOf(NodeId node) {
         for (int piece = 0;; ++piece)
             if (ask(piece) == node) return piece;
@@ -69,6 +72,7 @@
 
 constexpr int kPieces = 4000;
 
+/// Requests all pieces and returns their nodes.
 std::map<int, NodeId> placesOf(Shard& s) {
     std::map<int, NodeId> out;
     for (int i = 0; i < kPieces; ++i) out[i] = s.ask(i);
@@ -77,7 +81,7 @@
 
 }  // namespace
 
-TEST_CASE("pieces are spread by weight, and a piece stays where it is") {
+TEST_CASE("pieces are distributed by weight, and a piece keeps its node") {
     Shard s(4, plainSettings(), {1, 1, 2, 4});
     const auto places = placesOf(s);
     CHECK(placesOf(s) == places);
@@ -89,7 +93,7 @@
         const double due = kPieces * weight / 8.0;
         CHECK(std::abs(count[static_cast<NodeId>(node)] - due) < 5 * std::sqrt(due));
     }
-    SUBCASE("a node that leaves: only its pieces move, and they come back with it") {
+    SUBCASE("a node that drains: only its pieces move, and they return with it") {
         s.tell(Shard::entry(1, 1, NodeState::draining));
         for (const auto& [piece, node] : placesOf(s)) {
             if (places.at(piece) != 201) CHECK(node == places.at(piece));
@@ -98,7 +102,7 @@
         s.tell(Shard::entry(1, 1));
         CHECK(placesOf(s) == places);
     }
-    SUBCASE("a weight that grows: pieces move to it alone") {
+    SUBCASE("a weight that grows: pieces move only to that node") {
         s.tell(Shard::entry(0, 3));
         int moved = 0;
         for (const auto& [piece, node] : placesOf(s)) {
@@ -110,7 +114,7 @@
     }
 }
 
-TEST_CASE("what fails at one holder goes to another, as its class allows") {
+TEST_CASE("a failed attempt is repeated at another holder if its class allows") {
     Settings set = plainSettings();
     set.classes.push_back({.aimMs = 200, .deadlineMs = 1000, .idempotency = Idempotency::nonIdempotent});
     Shard s(3, set);
@@ -134,17 +138,17 @@
     CHECK(endsWith(0, Outcome::rejected) == std::pair(1, true));
     CHECK(endsWith(0, Outcome::reset) == std::pair(1, true));
     CHECK(endsWith(0, Outcome::error) == std::pair(1, true));
-    CHECK(endsWith(1, Outcome::rejected) == std::pair(1, true));  // it never ran
-    CHECK(endsWith(1, Outcome::reset) == std::pair(0, false));    // it may have
+    CHECK(endsWith(1, Outcome::rejected) == std::pair(1, true));  // it was not executed
+    CHECK(endsWith(1, Outcome::reset) == std::pair(0, false));    // it may have been executed
 }
 
-TEST_CASE("a holder that answers nothing is passed over, and what is out there is repeated elsewhere") {
+TEST_CASE("a holder that does not answer is skipped until it answers again") {
     Shard s(2);
     const int piece = s.pieceOf(200);
     const RequestEvent r = s.read(piece);
     s.d.give(s.d.nowMs + 1, r);
     REQUIRE(s.sentTo(r.id) == 200);
-    // A refused connection tells at once that nobody is there; one trickle later it is believed.
+    // A refused connection marks the node as silent at once; one more attempt checks it.
     s.d.outcome(s.d.nowMs + 1, r.id, 0, 200, Outcome::connectFailed);
     const RequestEvent trickle = s.read(piece);
     s.d.give(s.d.nowMs + 1, trickle);
@@ -152,14 +156,14 @@
     std::set<NodeId> used;
     for (int i = 0; i < 20; ++i) used.insert(s.ask(piece));
     CHECK(used == std::set<NodeId>{201});
-    // A trickle shows its return.
+    // A further attempt finds that it answers again.
     s.d.all.clear();
     s.d.pass(s.d.nowMs + 600);
     CHECK(s.ask(piece) == 200);
     CHECK(s.ask(piece) == 200);
 }
 
-TEST_CASE("silence: attempts out are called off and repeated at another holder") {
+TEST_CASE("attempts at a silent holder are cancelled and repeated at another one") {
     Settings set = plainSettings();
     set.classes[0].deadlineMs = 3000;
     Shard s(2, set);
@@ -187,7 +191,7 @@
     CHECK(again.size() == out.size());
 }
 
-TEST_CASE("what waits for a holder moves when it drains, and nothing new goes there") {
+TEST_CASE("requests queued for a holder move when it drains, and no new ones go there") {
     Shard s(2);
     const int piece = s.pieceOf(200);
     std::vector<RequestId> waits;
@@ -211,11 +215,11 @@
     CHECK(s.d.answers() == 0);
 }
 
-TEST_CASE("a pressed holder's excess goes to one that is not pressed, before it is refused") {
+TEST_CASE("requests that an overloaded holder cannot serve go to other holders before they are refused") {
     const auto refused = [](int holders) {
         Shard s(holders);
         int refusals = 0;
-        // Node 200 answers slowly; the others in good time.
+        // Node 200 answers after 400 ms, the others after 10 ms.
         std::multimap<double, std::pair<RequestId, NodeId>> out;
         for (int i = 0; i < 1500; ++i) {
             s.d.give(s.d.nowMs + 4, s.read(i));
@@ -244,7 +248,7 @@
     CHECK(shared < alone / 4);
 }
 
-TEST_CASE("a holder just started gets no more than the cold rule lets it, the others take the rest") {
+TEST_CASE("a cold holder gets no more than its budget, and the others take the rest") {
     Settings set = plainSettings();
     set.rules.coldShare = 0.25;
     set.rules.warmWithinMs = 5000;
@@ -270,14 +274,14 @@
     }
     CHECK(s.d.answers() == 0);
     CHECK(s.d.sends() == asked);
-    // Warm, it has its part.
+    // Once warm, it gets its share.
     s.d.pass(born + 7000);
     std::map<NodeId, int> count;
     for (int i = 0; i < 900; ++i) ++count[s.ask(i)];
     CHECK(count[202] > 200);
 }
 
-TEST_CASE("tables are given back as weighted holders come and go") {
+TEST_CASE("table entries are released as weighted holders join and leave") {
     Shard s(3);
     for (int i = 0; i < 300; ++i) s.ask(i);
     s.d.pass(s.d.nowMs + 6000);
@@ -293,8 +297,8 @@
     CHECK(s.d.tableSize() <= before);
 }
 
-// Guards against a client that names shards which nobody holds: each left an entry for good.
-TEST_CASE("shards that nobody holds leave nothing behind") {
+// Guards against a leak: each shard without holders that a client named left a table entry for good.
+TEST_CASE("requests for shards without holders leave no table entries") {
     Driver d(plainSettings());
     d.pass(6000, 10);
     const std::size_t before = d.tableSize();
@@ -305,8 +309,9 @@
     CHECK(d.tableSize() <= before);
 }
 
-// Of a large fleet a few nodes are drawn for a new object; one that serves is found however few there are.
-TEST_CASE("a new object finds the only node that serves among a thousand") {
+// In a large fleet a new object is placed on one of a few random nodes. If none of them serves, all nodes are
+// searched.
+TEST_CASE("a new object is placed on the only serving node among a thousand") {
     Driver d(plainSettings(), 1, 0, 1000);
     NodeListEvent list{NodeListKind::update, {}};
     for (int i = 0; i < 1000; ++i)
@@ -323,8 +328,8 @@
         if (const auto* send = std::get_if<SendAttempt>(&a)) CHECK(send->node == 737);
 }
 
-// Guards against an entry left for good by what ends only after its node has gone: an answer, or a deadline.
-TEST_CASE("a request that outlives its node leaves nothing behind") {
+// Guards against a leak: a request whose answer or deadline came after its node was gone left a table entry.
+TEST_CASE("a request that outlives its node leaves no table entries") {
     Settings set = plainSettings();
     set.mayCancel = false;
     set.classes[0].deadlineMs = 30'000;
@@ -334,7 +339,7 @@
     RequestEvent lost = request("lost", d.nowMs + 30'000, 0);
     d.give(d.nowMs + 1, lost);
     REQUIRE(d.sends("lost") == 1);
-    // What was sent well after it is answered: its attempt is held for lost and keeps its node no more.
+    // Attempts sent well after it are answered, so it is presumed lost and does not keep its node listed.
     for (int i = 0; i < 20; ++i) {
         const RequestId id = "later" + std::to_string(i);
         d.give(d.nowMs + 50, request(id, d.nowMs + 1000, 0));
@@ -347,5 +352,5 @@
     SUBCASE("its deadline") { d.pass(d.nowMs + 20'000, 10); }
     d.outcome(d.nowMs + 1, "lost", 0, 100, Outcome::timedOut);
     d.pass(d.nowMs + 80'000, 10);
-    CHECK(d.tableSize() == before - 2);  // without the node and its cell
+    CHECK(d.tableSize() == before - 2);  // the node and its cell are gone
 }
