--- a/src/limedrum/fleet.h
+++ b/src/limedrum/fleet.h
@@ -60,7 +60,7 @@
         return node;
     }
 
-    /// Marks all nodes as gone, before the nodes of a full list are added.
+    /// Marks all nodes as gone. Those in a full list are added again; those left out of it remain gone.
     void markAllGone() {
         for (auto& [id, n] : nodes) {
             n.state = NodeState::gone;
--- a/src/limedrum/state.h
+++ b/src/limedrum/state.h
@@ -122,7 +122,7 @@
 struct Request {
     RequestEvent spec;
     double arrivalMs = 0;
-    double dueMs = 0;         // when the answer should be there: the aim, or the expiry if that is past
+    double dueMs = 0;         // when the aim ends; of a late client retry, when it expires
     double nextCheckMs = 0;   // when to check whether it can still be served
     double worthPerUnit = 0;  // requests with the lowest are shed first
     CellId cell = -1;
@@ -148,7 +148,7 @@
     CellId cell = 0;
     double sentMs = 0;
     double units = 0;
-    bool presumedLost = false;  // no longer counted among the node's attempts in flight
+    bool presumedLost = false;  // no answer is expected; not counted among the node's attempts in flight
     std::string orderingKey;    // the request's key if its class is ordered, else empty
     std::string volume;
 };
@@ -196,8 +196,8 @@
     silentNode,        // the node does not answer, or nobody serves the cell
     thinnedOut,        // refused at random because its node is overloaded
     tooLate,           // shed from the queue of an overloaded node
-    expired,           // its time has passed
-    retriesExhausted,  // an attempt failed and may not be repeated
+    expired,           // the request ran out of time
+    retriesExhausted,  // an attempt failed and is not repeated
     causeCount
 };
 /// Units of the requests that were not served, by cause.
