--- a/src/limedrum/settings.cpp
+++ b/src/limedrum/settings.cpp
@@ -10,10 +10,10 @@
 namespace limedrum {
 namespace {
 
-void require(bool good, const std::string& field) {
-    if (!good) throw std::invalid_argument("settings: " + field + " is out of range");
+void require(bool condition, const std::string& field) {
+    if (!condition) throw std::invalid_argument("settings: " + field + " is out of range");
 }
-/// Each finite and not negative.
+/// Requires each value to be finite and not negative.
 void requireFigures(std::initializer_list<std::pair<const char*, double>> figures) {
     for (const auto& [field, value] : figures) require(std::isfinite(value) && value >= 0, field);
 }
