--- a/src/limedrum/scheduler_impl.h
+++ b/src/limedrum/scheduler_impl.h
@@ -1,12 +1,14 @@
-// What stands behind limedrum::Scheduler; the interface is include/limedrum/scheduler.h. Each concern has a
-// file of its own: admission, node_selection, token_allocation, shared_budgets, attempts, outcomes,
-// failure_detection, rounds, shutdown; scheduler.cpp calls them in their order.
+// Implementation of limedrum::Scheduler; the public interface is include/limedrum/scheduler.h. Each concern
+// has a source file of its own: admission, node_selection, token_allocation, shared_budgets, attempts,
+// outcomes, failure_detection, rounds and shutdown. scheduler.cpp calls them in order.
 //
-// Flow. handle() takes the events in order, then sweep() looks at what time alone changes: requests about to
-// expire, the round's end, lost attempts, silent nodes, held work that can no longer be in time; pump() sends
-// what may go, earliest due first. A request is refused at once or enters the queue of its cell (the shard of
-// data that one node holds). Its attempts are Flights until their outcome, also past its final answer. Every
-// guard of a rule sits in maySend(); nothing else sends.
+// handle() processes the events in order. sweep() then handles what depends on time alone: requests about to
+// expire, the end of the round, lost attempts, silent nodes, and queued requests that can no longer be
+// answered in time. sendQueued() sends the requests that may start, earliest due time first.
+//
+// A request is refused at once or enters the queue of its cell (the part of a shard that one node holds). An
+// Attempt is kept until its outcome arrives, even after the final answer of its request. maySend() holds all
+// checks that a rule demands before an attempt; sendQueued() alone sends, and only what maySend() permits.
 #pragma once
 
 #include <limedrum/scheduler.h>
@@ -24,11 +26,12 @@
 class Scheduler::Impl {
 public:
     Impl(Settings settings, std::uint64_t seed, double nowMs);
-    // Requests go on by the class and the attempts that they were taken with.
+    // Replaces the settings. Open requests keep their class number and their maximum number of attempts.
     void updateSettings(Settings settings);
     std::vector<Action> handle(double nowMs, std::span<const Event> events);
-    // What the next process on this machine goes on with.
+    // Returns the learned state as text, for the next process on this machine.
     std::string exportState(double nowMs);
+    // Restores the state that exportState() returned; returns false if the text is invalid or too old.
     bool importState(double nowMs, const std::string& text);
     std::vector<NodeStatus> nodeStatuses() const;
     std::size_t tableSize() const;
@@ -44,7 +47,7 @@
         return static_cast<std::uint64_t>(std::max(ms, 0.0) / kRoundMs);
     }
     bool observesOverload(const Node& n) const { return now_ < n.localOverloadUntilMs; }
-    // What the sum of bids tells counts where this host hears the node too seldom to feel it.
+    // Without recent answers of its own, this host relies on the overload that the bid sums report.
     bool lacksRecentAnswers(const Node& n) const {
         return now_ - n.delayMeasuredMs > kOwnObservationMaxAgeMs;
     }
@@ -56,82 +59,107 @@
     }
     void log(const std::string& text) { actions_.push_back(LogMessage{text}); }
 
-    // ---- The list ----
+    // ---- Node list and node selection ----
     void on(const NodeListEvent& event);
+    // Returns the holder that gets the cell's requests, or nullptr if no holder serves: one that is not
+    // silent, of these the one that started first, then the one with the lowest id.
     Node* servingNode(const Cell& c) const;
-    // A new object may go to any node: to the one that should answer first, of a few drawn if they are many.
+    // Returns the cell whose node is expected to answer a request for a new object first. Where there are
+    // many cells, a random sample is compared. Returns -1 if no node serves.
     CellId chooseCellForNewObject(double units);
-    // Where a request goes next: its cell, or of weighted holders the one with the largest claim on its
-    // piece, away from `avoid`, from those that answer nothing and, if `calm`, from pressed and cold ones.
+    // Returns the cell of a request's next attempt: of its shard's weighted holders, the one with the highest
+    // rendezvous score for the request's piece, except `avoid`, silent nodes and, if `calm`, overloaded and
+    // cold nodes. Without weighted holders, or if none but `avoid` is suitable, the request's present cell.
     CellId route(const Request& r, const Node* avoid, bool calm) const;
-    // What waits for a weighted holder that serves no more goes to another.
+    // Moves requests that are queued for a weighted holder that no longer serves to other holders.
     void rerouteQueue(const Cell& c);
-    // The part of its work that a node may take while it may be cold.
+    // Returns the fraction of its normal work that a node may get: less than 1 while it may be cold.
     double warmUpFraction(const Node& n) const;
     bool isCold(const Node& n) const;
-    // What a holder not yet measured can do, by its weight against those that are.
+    // Estimates the rate in units per second of a weighted holder that has not been measured, from the
+    // rates of the measured holders of its shard and the weights. Returns 0 if there are none.
     double estimateRate(const Node& n) const;
 
     // ---- Requests ----
     void on(const RequestEvent& event);
+    // Returns whether a silent node is due no trial attempt yet. Every kSilentNodeAttemptIntervalMs, one real
+    // request is sent to a silent node to detect its return.
     bool isBlockedAsSilent(const Node& n) const;
     void recordDemand(const Request& r);
-    // Units a second to expect in the rest of the round: as in the last round, or as this round shows a
-    // surge.
+    // Returns the units per second to expect in the rest of the round: the rate of the last round, or that
+    // of the current round if it is higher, so that a surge counts within its round.
     double expectedRate(double seen, double last) const;
-    // The part of a node's pool that this host's demand has in the bids' sum: of units inside reserves first,
-    // of the rest by weight, since at size a host has too few volumes to weigh them alone. Without a sum or
-    // demand an even slice. The few requests at least give way to an even part where all bidders' do not fit.
+    // Returns the units of this round that this host may send to a node, in proportion to its demand in the
+    // sum of bids: units inside reserves first, the rest by plan weight. (With many hosts, one host has too
+    // few volumes to weigh them alone.) Without a valid bid sum or any demand, all hosts have equal shares.
+    // The share is at least kMinRequestsPerRound requests, or an equal share of the bidders where less.
     double tokenShare(const Cell& c, const Node& n) const;
     double maxInFlightUnits(const Cell& c, const Node& n) const;
-    // Until an answer in good time, a round at most: at size a host hears a node once in seconds.
+    // Marks a node as overloaded until it answers in time, but for one round at most, since with many hosts
+    // one host gets an answer from a node only every few seconds.
     void markOverloaded(Node& n);
-    // Of units asked at one node, those in this host's part of the volume's reserve, by what was served
-    // through it.
+    // Returns how many of the units that a volume asks of one node (`asked`) are inside this host's part of
+    // the volume's reserve. That part follows the units served through this host and through others.
+    // `everywhere` is what the volume asks of all nodes through this host.
     double reservedUnits(const Volume& v, double asked, double everywhere, double seconds) const;
-    // Percent thinning by volume: tokens left over units expected, dealt out to reserves first, then by
-    // weight: a hot volume is thinned before its neighbours, and within a volume what earns least a unit
-    // before the rest.
+    // Updates the probability with which each volume's requests are admitted at a node: the tokens left
+    // divided by the units expected, with tokens going to reserves first and then by weight. A hot volume is
+    // thinned before its neighbours, and within a volume the requests of the least worth per unit first.
     void updateAdmissionProbabilities(Cell& c, const Node& n);
+    // Decides at random, by the admission probabilities, whether a request is refused at an overloaded node.
     bool shouldThin(Cell& c, Node& n, const Request& r);
 
-    // ---- The rules' guards ----
-    // Since when a node may be cold; 0: it is not. Back from a long silence it is taken for cold until the
-    // list could tell a restart, as it falls for good if so. After a mere hang that costs part of its work.
+    // ---- Checks before an attempt ----
+    // Returns since when a node may be cold, or 0 if its start time is unknown. A node that is back from a
+    // long silence counts as cold until the node list can have reported a restart: a restarted node that got
+    // its full load would fail for good. After a mere hang, this costs part of the node's work.
     double coldSinceMs(const Node& n) const;
-    // What all hosts together may send a cold node within the rule's window: what any bears, growing as
-    // slowly as one may warm; that of the window's middle.
+    // Returns the units that all hosts together may send a cold node within the rule's window (fallMs), or
+    // nothing if the node is not cold. Starts at what any cold node bears and grows as slowly as a node may
+    // warm up; the value is that of the middle of the window.
     std::optional<Budget> coldBudget(double since) const;
-    // A plan's limit: a store so deep that fills in so long.
+    // Returns a plan's limit as a token bucket (depth in units and time to fill), or nothing without a limit.
     std::optional<Budget> limitBudget(int plan) const;
+
     // ---- Budgets that all hosts share: cold nodes and limits ----
     //
-    // A quarter of a budget is split evenly; a host uses its part without a word. The rest lies with two
-    // keepers, half each, known to all from the budget's number; they deal it on asking, and what they deal
-    // is void soon after. What both deny is given up at once. The total is safe whoever crashes, restarts or
-    // loses messages: one host alone counts each part. A store's part is empty at its host's start; a
-    // window's part is void for a window from then, unless the node started later still. Only budget is lost.
+    // A quarter of a budget is split evenly among the hosts, and each uses its part without asking. The rest
+    // belongs in equal halves to two coordinators, which all hosts derive from the budget's id. They grant
+    // units on request, and a grant expires soon after. A request that both deny is given up at once.
+    //
+    // The total is never exceeded, whichever host crashes, restarts or loses messages, because a single host
+    // counts each part. At its host's start, a part of a token bucket is empty, and a part of a window is
+    // unusable for the length of the window, unless the node started later than the host. Faults can only
+    // lose budget.
+
+    // Returns whether the budget covers a request. If it does not, asks a coordinator for a grant, unless one
+    // has been asked recently or all have denied. `figure` is sent along: the node's boot time in ms or the
+    // plan's number.
     bool ensureBudget(Request& r, BudgetId id, const std::optional<Budget>& b, int hosts, double figure);
-    // Nothing of a cold node's budget where a host's part is under one request: the keepers have all.
+    // Returns the fraction of a budget that is split evenly. It is 0 for a cold node's budget where a host's
+    // part would be less than one mean request; the coordinators then have all of it.
     double localBudgetFraction(BudgetId id) const;
     double availableUnits(BudgetPart& ledger, const Budget& b, double part, double bornMs) const;
     void consumeBudget(BudgetId id, const std::optional<Budget>& b, double units);
     int budgetCoordinator(BudgetId id, int part) const;
     void sendBudgetMessage(int to, const BudgetMessage& m);
     void on(int sender, const BudgetMessage& m);
-    // `ranMs`: when the first attempt that may have run was sent.
+    // Returns whether a request may be attempted again. `ranMs` is the time at which the first attempt that
+    // may have run was sent, or kNever.
     bool mayRepeat(const Request& r, double ranMs) const;
-    // By when a repeat's last byte has to be out, whatever it waits for on its way.
+    // Returns the time by which the last byte of a repeat must be sent, including all waits on the way.
     double repeatDeadlineMs(const Request& r, double ranMs) const;
     bool retryBudgetAllows();
-    // The shutdown's last moment at which an attempt of the request may begin.
+    // Returns the last time at which the shutdown lets an attempt of the request begin.
     double attemptUntilMs(const Request& r) const;
+    // Returns whether an attempt may begin now. May send a message that asks for a budget grant.
     bool maySend(Request& r, Node& n);
     void send(Request& r, Node& n);
     void sendQueued(CellId cell);
-    // Held work under pressure: where not all can be in time, what earns least for its size is refused, so
-    // that earliest-due-first does not answer all just too late. And what a shared budget does not cover by
-    // its aim.
+    // Refuses queued requests of an overloaded node that cannot all be answered in time, those of the least
+    // worth per unit first; otherwise, sending the earliest due first would answer all of them just too late.
+    // Also refuses requests that a shared budget does not cover by their due time. Requests of silent or
+    // cold holders move to other holders where possible.
     void shedQueue(Cell& c, Node& n);
 
     // ---- Answers ----
@@ -141,25 +169,30 @@
 
     // ---- Shutdown ----
     void on(const ShutdownEvent& event);
-    // Cuts an open request's time to what the shutdown leaves of it.
+    // Shortens the deadlines of an open request to those of the shutdown.
     void applyShutdownLimits(Request& r);
-    // The final answer: refused where a repeat is harmless, else failed.
+    // Ends a request without a result: refuses it if the client can safely repeat it, else fails it.
     void refuseOrFail(const RequestId& id, UnservedCause cause);
-    // Lets go of a request that has its final answer, and calls off what is still out for it.
+    // Removes a request that has its final answer and cancels its remaining attempts.
     void eraseRequest(const RequestId& id);
 
     // ---- Time ----
-    // A node that takes work and answers nothing, whatever the cause: refused at once but for a trickle that
-    // shows its return. A pause longer than the limit looks the same and costs the requests of its rest.
+    // Marks a node that gets attempts and does not answer as silent, whatever the cause. Its requests are
+    // then refused at once, except for occasional trial attempts that show its return. A pause longer than
+    // the limit cannot be told from a failure, so the requests in the rest of the pause are refused too.
     void detectSilence(Node& n);
-    // When a request that goes on is looked at again: one without an attempt out also when none may begin.
+    // Returns the time of a request's next check: its expiry, or earlier the time from which the shutdown
+    // lets no attempt begin.
     double nextCheckMs(const Request& r) const;
     void scheduleCheck(Request& r, double ms);
+    // Returns the time in ms after which an attempt of so many units may count as lost.
     double lossTimeoutMs(const Node& n, double units) const;
-    // An attempt out much longer than usual, overtaken by what was sent well later, is held for lost: it
-    // takes no place any more and may be called off and repeated. Time alone is no proof: repeats feed a jam.
+    // Presumes attempts lost that are in flight much longer than usual and whose node has answered one that
+    // was sent well later. A lost attempt frees its in-flight slot and may be cancelled and repeated. A long
+    // time alone does not suffice, since repeats would add to the congestion of a slow node.
     void detectLostAttempts();
-    // Calls an attempt off to repeat it, as class, cap and budget allow and its time may still serve.
+    // Cancels an attempt in order to repeat it, if the class, the maximum number of attempts and the retry
+    // budget permit and the request has at least `neededMs` left.
     void cancelForRetry(const AttemptId& id, const Attempt& f, const Node& n, double neededMs);
     void sweep();
     void processActiveCells();
@@ -167,20 +200,23 @@
 
     // ---- Rounds ----
     void endRound();
-    // The host that gathers a cell's bids in this round: another one each round, known to all without a word,
-    // so that a dead one costs a round. (Bids from all to all grow with the square of the hosts.)
+    // Returns the host that sums a cell's bids in this round. All hosts derive it without communication. It
+    // changes every round, so that a failed auctioneer costs one round. (If all hosts sent their bids to all,
+    // the number of messages would grow with the square of the number of hosts.)
     int auctioneer(CellId cell) const;
     void sendBids();
     void sendBidSums();
     void sendBidMessage(int to, const BidMessage& message);
     void receiveBidMessage(int sender, const BidMessage& message);
+    // Returns whether a node served most of its units under overload.
     bool showsSaturation(const Bid& sum) const;
-    // A node that was pressed for most of what it served ran at its rate; else its rate is at least that.
+    // Updates the learned rate of a cell's node. What a saturated node served is a sample of its rate; what
+    // any other node served is a lower bound.
     void learnRate(Cell& c, const Bid& sum);
-    // What cannot be read whole, is of another round, or claims what no host can mean, is passed over.
+    // Ignores messages that cannot be parsed, are of another round, or hold implausible figures.
     void on(const PeerMessageEvent& event);
 
-    // ---- What this host knows ----
+    // ---- Learned state ----
     LearnedState learnedState() {
         return {settings_,           fleet_,          volumes_,       budgetShares_,
                 coordinatorBudgets_, recentRequests_, recentRetries_, budgetFillStartMs_};
@@ -189,30 +225,31 @@
     Settings settings_;
     Random random_;
     double now_;
-    ShutdownEvent shutdown_{kNever, kNever, kNever};    // its moments; it has not begun
-    double startMs_ = now_, budgetFillStartMs_ = now_;  // since the second, untouched parts of limits fill
-    double tightestAimMs_ = kNever;                     // the tightest
+    ShutdownEvent shutdown_{kNever, kNever, kNever};  // times; kNever: no shutdown has begun
+    // The start of this host, and the time from which unused parts of limits fill.
+    double startMs_ = now_, budgetFillStartMs_ = now_;
+    double tightestAimMs_ = kNever;
     double roundStartMs_ = std::floor(now_ / kRoundMs) * kRoundMs;
-    double bidSumsDueMs_ = kNever;  // when this host tells the sums of the bids that it gathers
+    double bidSumsDueMs_ = kNever;  // when this host sends the sums of the bids it gathers
     double lastSweepMs_ = now_;
     double timerDueMs_ = -1;
-    double subscribeDueMs_ = kNever;            // when to ask for the subscription next
-    double longestBudgetWindowMs_ = 0;          // the longest window of any shared budget
-    std::map<int, double> longestLifetimesMs_;  // for each class: the longest time to expiry seen
-    UnservedUnits unservedThisRound_;           // units, this round
+    double subscribeDueMs_ = kNever;            // next request for the node list subscription
+    double longestBudgetWindowMs_ = 0;          // of all shared budgets
+    std::map<int, double> longestLifetimesMs_;  // by class: longest time to expiry seen
+    UnservedUnits unservedThisRound_;           // units
     std::vector<Action> actions_;
     std::unordered_map<RequestId, Request> requests_;
-    std::set<std::pair<double, RequestId>> requestChecks_;
+    std::set<std::pair<double, RequestId>> requestChecks_;  // by time of the next check
     std::map<AttemptId, Attempt> attempts_;
-    std::set<std::pair<double, AttemptId>> attemptChecks_;  // when an attempt is next looked at
+    std::set<std::pair<double, AttemptId>> attemptChecks_;  // by time of the next check
     Fleet fleet_;
-    std::unordered_map<std::string, Volume> volumes_;  // as it is met: no decision looks at the order
+    std::unordered_map<std::string, Volume> volumes_;  // by name; no decision depends on the order
     KeyQueues keyQueues_;
-    std::map<BudgetId, BudgetShare> budgetShares_;              // this host's use of budgets that all share
-    std::map<BudgetId, CoordinatorBudget> coordinatorBudgets_;  // those that this host keeps
+    std::map<BudgetId, BudgetShare> budgetShares_;              // this host's use of shared budgets
+    std::map<BudgetId, CoordinatorBudget> coordinatorBudgets_;  // those that this host coordinates
     GatheredBids gatheredBids_;                                 // this round's bids
-    SlidingWindow recentRequests_;  // requests, and attempts beyond their first, within the rule's window
-    SlidingWindow recentRetries_;
+    SlidingWindow recentRequests_;                              // requests within the retry budget's window
+    SlidingWindow recentRetries_;  // attempts after the first, in the same window
 };
 
 }  // namespace limedrum
--- a/src/limedrum/tuning.h
+++ b/src/limedrum/tuning.h
@@ -1,4 +1,6 @@
-// Tuned constants of the decisions. "Aim" is the tightest aim of any class, as the settings tell it.
+// Constants of the scheduling decisions, in groups: rates, overload, rounds, failure detection, retries,
+// shared budgets and placement. "Aim" below is the tightest aim (target answer time) of all classes in the
+// settings.
 #pragma once
 
 #include <cmath>
@@ -7,83 +9,131 @@
 
 namespace limedrum {
 
-inline constexpr double kRoundMs = 2000;           // ms: the design's default round
-inline constexpr double kTargetUtilization = 1.0;  // of the learned rate: the pool of a pressured node
-inline constexpr double kBacklogDrainUtilization =
-    0.9;  // the same while most answers are late everywhere: the queue must drain
-inline constexpr double kRateProbeFactor =
-    1.15;  // per round: rise of a rate that is asked for more and answers in time
-inline constexpr double kMinRequestsPerRound = 3;  // requests a round: the least slice of a pool
-inline constexpr double kMinInFlight = 2;  // requests out at a node at least: one in work, one on its way
-inline constexpr double kMinInFlightOverloaded =
-    1;                                          // the same at a pressured node: the other hosts' keep it busy
-inline constexpr int kMaxInFlightPerNode = 32;  // requests of one host out at a node, the design's ceiling
-inline constexpr double kInFlightAimFraction =
-    0.5;  // of the aim: work out at a node, the rest is for pauses and travel
-inline constexpr double kOverloadDelayAimFraction =
-    0.5;  // of the aim: answers this much over the usual mean pressure
-inline constexpr double kOverloadQueueWaitAimFraction =
-    0.5;  // of the aim: a wait at the bound that means pressure
-inline constexpr double kOverloadHoldMs =
-    250;  // ms: pressure outlasts its last sign by this, against flapping
-inline constexpr double kDelayEwmaMinWeight = 0.2;      // per answer: least weight in the smoothed delay
-inline constexpr double kOwnObservationMaxAgeMs = 500;  // ms without an answer: what others feel counts
-inline constexpr double kMinRateSampleMs = 250;  // ms under pressure that make a measure of a host's own
-inline constexpr double kDelayEwmaFullWeightMs =
-    500;  // ms since the last answer that give a new one its full weight
-inline constexpr double kUnitTimeQuantileStep =
-    0.05;  // per answer: step of the quantile that tracks usual time a unit
-inline constexpr double kUnitTimeQuantile =
-    0.3;  // the usual is a fast answer: repeats of a key are cheaper still
-inline constexpr double kRateEwmaWeight =
-    0.4;  // per round: weight of a new measure of a pressured node's rate
-inline constexpr double kOverloadedServedFraction =
-    0.5;  // of the units served: under pressure, they measure the rate
-inline constexpr int kBidSumMaxAgeRounds =
-    3;  // rounds that the last sum of bids stands when no newer one arrives
-inline constexpr double kBidCollectionMs = 60;  // ms after a round's start in which its bids are gathered
-inline constexpr double kMinElapsedRoundFraction =
-    0.25;  // of a round: the offer seen so far counts as if over this at least
-inline constexpr double kAdmissionRefreshMs =
-    100;  // ms: age at which the chances of a node's volumes are worked out anew
-inline constexpr double kRefusalRetryAfterMs =
-    100;  // ms: what a refusal advises; the chances are other ones by then
-inline constexpr double kSilentAfterAims = 4;         // aims without any answer: the node counts as silent
-inline constexpr double kUnansweredOverloadAims = 2;  // the same: what is out there counts as pressed
-inline constexpr int kMinSendsForSilence =
-    3;  // sends without any answer, at least: one or two may just have lost it
-inline constexpr double kLossTimeoutMinAims = 0.75;   // aims before an attempt may be held for lost, at least
-inline constexpr double kLossTimeoutAnswerTimes = 3;  // times the usual answer time and delay, at least
-inline constexpr double kRestartSilenceFactor =
-    3;  // times the silence limit: a restart, not a pause, is the likely cause
-inline constexpr double kNodeListLagMs = 5000;  // ms: the list tells a restart within this, mostly
-inline constexpr double kFirstAttemptTimeFraction =
-    0.45;  // of its time: a request without an attempt by then is given up
-inline constexpr double kShedOvercommitFactor =
-    1.6;  // times the own part: other hosts leave some of theirs unused
+inline constexpr double kRoundMs = 2000;  // ms; must be the same on all hosts
+
+// The tokens of a round for an overloaded node, as a factor of its learned rate.
+inline constexpr double kTargetUtilization = 1.0;
+
+// Used instead of kTargetUtilization while most answers of all hosts are late, so that the backlog drains.
+inline constexpr double kBacklogDrainUtilization = 0.9;
+
+// Limits how fast a learned rate rises per round while the node is asked for more and is not saturated.
+inline constexpr double kRateProbeFactor = 1.15;
+
+inline constexpr double kMinRequestsPerRound = 3;  // mean requests; minimum share of a node's tokens
+
+// Requests that a host may always have in flight at a node: one being served and one on its way.
+inline constexpr double kMinInFlight = 2;
+
+// Used instead of kMinInFlight at an overloaded node, which the other hosts' requests keep busy.
+inline constexpr double kMinInFlightOverloaded = 1;
+
+inline constexpr int kMaxInFlightPerNode = 32;  // requests of this host in flight at one node
+
+// Work in flight at a node, as a fraction of the aim; the rest is left for pauses and transport.
+inline constexpr double kInFlightAimFraction = 0.5;
+
+// A node counts as overloaded if its smoothed delay over the usual answer time exceeds this part of the aim.
+inline constexpr double kOverloadDelayAimFraction = 0.5;
+
+// A node counts as overloaded if a request waits longer than this part of the aim for an in-flight slot.
+inline constexpr double kOverloadQueueWaitAimFraction = 0.5;
+
+inline constexpr double kOverloadHoldMs = 250;  // ms that overload outlasts its last sign; avoids flapping
+inline constexpr double kDelayEwmaMinWeight = 0.2;  // per answer: minimum weight in the smoothed delay
+
+// Without an answer for this many ms, a host relies on the overload that the bid sums report.
+inline constexpr double kOwnObservationMaxAgeMs = 500;
+
+// A host's own throughput counts as a rate sample if it observed overload for this many ms of the round.
+inline constexpr double kMinRateSampleMs = 250;
+
+// After this many ms without an answer, a new one replaces the smoothed delay entirely.
+inline constexpr double kDelayEwmaFullWeightMs = 500;
+
+inline constexpr double kUnitTimeQuantileStep = 0.05;  // per answer: relative step of the time per unit
+
+// The usual time per unit follows a low quantile, since repeats of a key are cheaper than the first request.
+inline constexpr double kUnitTimeQuantile = 0.3;
+
+inline constexpr double kRateEwmaWeight = 0.4;  // per round: weight of a new rate sample
+
+// A node is saturated if more than this fraction of its served units was served under overload.
+inline constexpr double kOverloadedServedFraction = 0.5;
+
+inline constexpr int kBidSumMaxAgeRounds = 3;   // rounds for which a bid sum stays valid
+inline constexpr double kBidCollectionMs = 60;  // ms from the start of a round until bids are summed
+
+// Early in a round, the demand seen so far is divided by at least this fraction of the round.
+inline constexpr double kMinElapsedRoundFraction = 0.25;
+
+inline constexpr double kAdmissionRefreshMs = 100;  // ms between updates of admission probabilities
+
+// Retry-after of a refusal in ms; by then, the admission probabilities have been updated.
+inline constexpr double kRefusalRetryAfterMs = 100;
+
+// A node is silent after this many aims without an answer, if kMinSendsForSilence is reached too.
+inline constexpr double kSilentAfterAims = 4;
+
+// After this many aims without an answer, the units in flight at a node count as served under overload.
+inline constexpr double kUnansweredOverloadAims = 2;
+
+// Attempts without an answer before a node is silent: one or two may merely have lost their answers.
+inline constexpr int kMinSendsForSilence = 3;
+
+inline constexpr double kLossTimeoutMinAims = 0.75;   // aims; minimum time before an attempt counts as lost
+inline constexpr double kLossTimeoutAnswerTimes = 3;  // expected answer times before an attempt is lost
+
+// A silence longer than this many times the silence limit is taken for a restart, not for a pause.
+inline constexpr double kRestartSilenceFactor = 3;
+
+inline constexpr double kNodeListLagMs = 5000;  // ms within which the node list mostly reports a restart
+
+// A request without an attempt is given up after this fraction of its time.
+inline constexpr double kFirstAttemptTimeFraction = 0.45;
+
+// Factor on this host's token share when shedding: other hosts leave part of their shares unused.
+inline constexpr double kShedOvercommitFactor = 1.6;
+
 inline constexpr double kSilentNodeAttemptIntervalMs = 500;  // ms between attempts at a silent node
-inline constexpr double kSweepIntervalMs = 10;               // ms between looks at held work
-inline constexpr double kRetryDelayAimFraction = 0.25;  // of the aim: rest before a request's next attempt
-inline constexpr double kResubscribeDelayMs = 1000;     // ms before a failed subscription is asked for again
-inline constexpr double kSubscribeTimeoutMs = 6000;     // ms without an answer to it: asked for again
-inline constexpr double kLocalBudgetFraction =
-    0.25;                                        // of a shared budget: split evenly for use without a word
-inline constexpr int kBudgetCoordinators = 2;    // hosts that deal the rest out, in equal parts
-inline constexpr double kGrantLifetimeMs = 100;  // ms from asking: what was dealt is void after it
-inline constexpr double kEvenSplitPriorUnits =
-    6;  // units that an even split of a volume weighs against what was seen
-inline constexpr double kClientRetryMinAgeMs =
-    5;  // ms: a life shorter than the class's by more shows a client's repeat
-inline constexpr std::size_t kMaxPlacementSamples =
-    32;  // cells looked at for a new object; of more a quarter of so many, drawn
-inline constexpr double kConnectionLikelyOpenMs =
-    8000;  // ms since an answer: a connection is likely still there
-inline constexpr double kNewConnectionAimFraction = 0.1;    // of the aim: what a new one costs a new object
-inline constexpr double kColdBudgetWaitAimFraction = 0.25;  // of the aim: a wait for a cold holder's budget
-inline constexpr double kMaxPlausibleUnits = 1e6;           // units a round that no host can mean
+inline constexpr double kSweepIntervalMs = 10;               // ms between checks of queued requests
+inline constexpr double kRetryDelayAimFraction = 0.25;       // fraction of the aim; delay before a retry
+
+// Delay in ms before a lost node list subscription is renewed; multiplied by a random factor of 1 to 2.
+inline constexpr double kResubscribeDelayMs = 1000;
+
+inline constexpr double kSubscribeTimeoutMs = 6000;  // ms without an answer before subscribing again
+
+// Fraction of a shared budget that is split evenly among the hosts and used without asking.
+inline constexpr double kLocalBudgetFraction = 0.25;
+
+inline constexpr int kBudgetCoordinators = 2;    // hosts that grant the rest of a budget, in equal parts
+inline constexpr double kGrantLifetimeMs = 100;  // ms from the request for a grant until the grant expires
+
+// Weight in units of an even split among a volume's hosts, against the units that were seen served.
+inline constexpr double kEvenSplitPriorUnits = 6;
+
+// A remaining time shorter than the class's longest by more than this many ms marks a client's retry.
+inline constexpr double kClientRetryMinAgeMs = 5;
+
+// Maximum number of cells to compare for a new object. Where there are more cells, at most this many are
+// drawn, until a quarter of the number can serve.
+inline constexpr std::size_t kMaxPlacementSamples = 32;
+
+// Connections are expected to be open for this many ms after an answer.
+inline constexpr double kConnectionLikelyOpenMs = 8000;
+
+// Expected cost of a new connection when a new object is placed, as a fraction of the aim.
+inline constexpr double kNewConnectionAimFraction = 0.1;
+
+// A request that waits longer than this part of the aim for a cold holder's budget is routed elsewhere.
+inline constexpr double kColdBudgetWaitAimFraction = 0.25;
+
+inline constexpr double kMaxPlausibleUnits = 1e6;  // units per round; bounds figures that others report
 
 inline constexpr double kNever = std::numeric_limits<double>::infinity();
 
-inline double finiteOr(double value, double otherwise) { return std::isfinite(value) ? value : otherwise; }
+// Returns `fallback` if `value` is infinite or not a number.
+inline double finiteOr(double value, double fallback) { return std::isfinite(value) ? value : fallback; }
 
 }  // namespace limedrum
