--- a/src/limedrum/admission.cpp
+++ b/src/limedrum/admission.cpp
@@ -1,4 +1,4 @@
-// Admission: a request is refused at once, or enters the queue of its cell.
+// Admission: refuses a new request at once or puts it into the queue of its cell.
 #include "scheduler_impl.h"
 
 namespace limedrum {
@@ -14,8 +14,8 @@
     Request& r = requests_[event.id];
     r.spec = event;
     r.maxAttempts = settings_.attemptCap;
-    // No client waits longer than its class, nor is a volume met by more hosts than there are: one that
-    // says so must not count in what is learned of the others.
+    // A client may state a deadline beyond its class or more hosts than there are. Such figures are limited,
+    // since they would distort what is learned from all requests of the class or the volume.
     r.spec.expiresMs = std::min({event.expiresMs, now_ + cls.deadlineMs, shutdown_.answerByMs});
     r.spec.hostsOfVolume = std::clamp(event.hostsOfVolume, 1, settings_.hosts);
     r.spec.units =
@@ -24,7 +24,7 @@
     r.arrivalMs = now_;
     scheduleCheck(r, std::min(now_ + kFirstAttemptTimeFraction * (r.spec.expiresMs - now_),
                               shutdown_.firstAttemptUntilMs));
-    // A client's repeat brings what is left of its first try's life: its aim counts from then.
+    // A client's retry carries the remaining time of its first try, so its aim counts from that one.
     const double left = r.spec.expiresMs - now_;
     const double life = longestLifetimesMs_[event.classNo] =
         std::max(longestLifetimesMs_[event.classNo], left);
@@ -39,10 +39,10 @@
     v.planNo = r.spec.planNo;
     v.hostCount = std::max(v.hostCount, r.spec.hostsOfVolume);
     v.lastSeenMs = now_;
-    if (!r.lateClientRetry) v.offeredThisRound += r.spec.units;  // repeats do not inflate what this host bids
+    if (!r.lateClientRetry) v.offeredThisRound += r.spec.units;  // retries must not inflate the bids
     recordDemand(r);
     Node* n = servingNode(fleet_.cellForUpdate(r.cell));
-    // What its holder has no room for goes to another that is not pressed.
+    // A request that its holder would refuse goes to another holder that is not overloaded.
     bool over = n != nullptr && !isBlockedAsSilent(*n) && shouldThin(fleet_.cellForUpdate(r.cell), *n, r);
     if (const CellId to = over ? route(r, n, true) : r.cell; to != r.cell) {
         r.cell = to;
--- a/src/limedrum/attempts.cpp
+++ b/src/limedrum/attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts: whether one may begin, of requests that are held those that go first, and those given up.
+// Attempts: decides whether one may begin, which queued requests are sent first and which are given up.
 #include "scheduler_impl.h"
 
 namespace limedrum {
@@ -80,7 +80,7 @@
         } else if (n->attemptsInFlight >= kMaxInFlightPerNode ||
                    (n->attemptsInFlight >= minInFlight(*n) && n->unitsInFlight + r.spec.units > most)) {
             if (!isCold(*n) && now_ - r.arrivalMs > kOverloadQueueWaitAimFraction * tightestAimMs_)
-                markOverloaded(*n);  // else its budget held it
+                markOverloaded(*n);  // a cold node's budget delays requests too
             return;
         }
         if (!maySend(r, *n)) continue;
@@ -94,13 +94,13 @@
     std::vector<std::pair<RequestId, CellId>> moved;
     const bool waits = n.silentSinceMs > 0;
     const bool tight = waits || (isOverloaded(n) && n.unitsPerSecond > 0);
-    const double rate = tokenShare(c, n) / kRoundMs * 1000 * kShedOvercommitFactor;  // units a second
+    const double rate = tokenShare(c, n) / kRoundMs * 1000 * kShedOvercommitFactor;  // units per second
     double ahead = n.unitsInFlight;
-    std::set<std::pair<double, RequestId>> kept;  // by merit
+    std::set<std::pair<double, RequestId>> kept;  // by worth per unit
     for (const auto& [due, id] : c.queue) {
         const Request& r = requests_.at(id);
         if (r.attemptsInFlight > 0) continue;
-        // The other holders take what one that is silent, or cold beyond its budget, cannot.
+        // Requests of a holder that is silent, or cold without budget left, go to other holders.
         const bool away =
             waits ||
             (r.blockingBudget && r.blockingBudget->first == 'n' &&
--- a/src/limedrum/failure_detection.cpp
+++ b/src/limedrum/failure_detection.cpp
@@ -1,4 +1,4 @@
-// Failure detection: nodes that answer nothing, and attempts held for lost.
+// Failure detection: finds silent nodes and lost attempts.
 #include "scheduler_impl.h"
 
 namespace limedrum {
@@ -11,7 +11,7 @@
     n.lastTrickleMs = now_;
     log("node " + std::to_string(n.id) + " answers nothing");
     if (n.weight <= 0) return;
-    for (const auto& [id, f] : attempts_)  // another holder may answer
+    for (const auto& [id, f] : attempts_)  // another holder may answer them
         if (f.node == n.id) cancelForRetry(id, f, n, tightestAimMs_);
 }
 
@@ -31,7 +31,7 @@
         if (node == fleet_.nodes.end()) continue;
         Node& n = node->second;
         const double wait = lossTimeoutMs(n, f.units);
-        if (n.latestAnsweredSendMs <= f.sentMs + wait / 2) {  // not overtaken
+        if (n.latestAnsweredSendMs <= f.sentMs + wait / 2) {  // nothing sent well later is answered
             attemptChecks_.emplace(now_ + wait / 2, id);
             continue;
         }
--- a/src/limedrum/node_selection.cpp
+++ b/src/limedrum/node_selection.cpp
@@ -1,4 +1,5 @@
-// Node selection: which node gets the work of a shard, and where a request goes that has a choice.
+// Node selection: which node serves a cell, and which holder or cell a request goes to where there are
+// several.
 #include <tuple>
 
 #include "scheduler_impl.h"
@@ -7,7 +8,8 @@
 
 void Scheduler::Impl::on(const NodeListEvent& event) {
     if (event.kind == NodeListKind::unavailable) {
-        // Which call failed is not said: the subscription counts as lost. Once too often costs a call.
+        // The event does not say which call failed, so the subscription counts as lost. If it was not, the
+        // only cost is one unnecessary call.
         if (settings_.nodeListOnRequest)
             subscribeDueMs_ = now_ + kResubscribeDelayMs * (1 + random_.uniform());
         return;
@@ -32,7 +34,7 @@
 
 CellId Scheduler::Impl::chooseCellForNewObject(double units) {
     std::vector<Cell*> looks;
-    double usual = 0, known = 0;  // of a node not yet known
+    double usual = 0, known = 0;  // mean time per unit, used for nodes without measurements
     const auto learn = [&](const Node& n) { usual += n.usualMsPerUnit, known += n.usualMsPerUnit > 0; };
     if (fleet_.cellsWithHolders.size() <= kMaxPlacementSamples) {
         looks = fleet_.cellsById();
@@ -56,7 +58,7 @@
             (n->unitsInFlight + c->queuedUnits + units) * (n->usualMsPerUnit > 0 ? n->usualMsPerUnit : usual);
         double ms = (n->smoothedDelayMs + work) * (0.75 + 0.5 * random_.uniform());
         if (n->attemptsInFlight > 0)
-            ms = std::max(ms, now_ - n->lastHeardMs);  // an answer takes that long at least
+            ms = std::max(ms, now_ - n->lastHeardMs);  // the next answer takes at least that long
         if (isOverloaded(*n)) ms += tightestAimMs_;
         if (now_ - n->delayMeasuredMs > kConnectionLikelyOpenMs)
             ms += kNewConnectionAimFraction * tightestAimMs_;
--- a/src/limedrum/outcomes.cpp
+++ b/src/limedrum/outcomes.cpp
@@ -1,4 +1,4 @@
-// Outcomes of attempts, and the final answers of requests.
+// Outcomes: learns from the outcomes of attempts and gives requests their final answers.
 #include "scheduler_impl.h"
 
 namespace limedrum {
@@ -34,7 +34,8 @@
             n.silentSinceMs = flight.sentMs;
         }
         if (event.outcome == Outcome::rejected) markOverloaded(n);
-        // The node did the work of an answer that was lost: it has answered what was sent later.
+        // If the node has answered an attempt that was sent later, it has served this one too and only the
+        // answer was lost.
         if (unsure && n.latestAnsweredSendMs > flight.sentMs)
             fleet_.cellForUpdate(flight.cell).currentRound.servedUnits += flight.units;
         if (event.outcome == Outcome::done && flight.units > 0) {
@@ -90,7 +91,7 @@
 void Scheduler::Impl::on(const StreamStartedEvent& event) {
     const auto at = requests_.find(event.id);
     if (at == requests_.end()) return;
-    at->second.streaming = true;  // from here on it has no deadline
+    at->second.streaming = true;  // a started stream has no deadline
     requestChecks_.erase({at->second.nextCheckMs, event.id});
 }
 
@@ -105,7 +106,8 @@
     const bool harmless = cls.idempotency == Idempotency::idempotent ||
                           (r.attemptsInFlight == 0 && r.mayHaveRunSinceMs == kNever) ||
                           (cls.idempotency == Idempotency::deduplicated && cls.dedupScope == DedupScope::all);
-    // Soon enough to be in time still; where nobody answers, as late as a client will come.
+    // The client can retry soon enough to be answered in time. If no node answers, it waits as long as
+    // permitted.
     const Node* n = servingNode(fleet_.cellForUpdate(r.cell));
     const double backMs =
         n == nullptr || n->silentSinceMs > 0 ? settings_.maxRetryAfterMs : kRefusalRetryAfterMs;
--- a/src/limedrum/rounds.cpp
+++ b/src/limedrum/rounds.cpp
@@ -1,4 +1,4 @@
-// Rounds: bids and their sums, and what is learned of the nodes' rates from them.
+// Rounds: exchanges bids and their sums, and learns the rates of nodes from them.
 #include "scheduler_impl.h"
 
 namespace limedrum {
@@ -13,11 +13,11 @@
         c.overloadUnitsLastRound = c.currentRound.overloadUnits;
         if (Node* n = servingNode(c)) {
             n->overloadMsLastRound = std::exchange(n->overloadMsThisRound, 0);
-            // What nobody answers is pressure too: a jammed node serves too little to show it.
+            // Unanswered units count as served under overload: a jammed node serves too little to show it.
             if (n->attemptsInFlight > 0 && now_ - n->lastHeardMs > kUnansweredOverloadAims * tightestAimMs_)
                 c.currentRound.overloadUnits += n->unitsInFlight;
         }
-        if (c.bidSumMs < roundStartMs_ - kRoundMs) learnRate(c, c.ownBid);  // nobody told a sum
+        if (c.bidSumMs < roundStartMs_ - kRoundMs) learnRate(c, c.ownBid);  // no bid sum has arrived
         c.endRound();
         for (auto it = c.volumes.begin(); it != c.volumes.end();) {
             Demand& d = it->second;
@@ -127,7 +127,8 @@
     }
     const auto message = readBidMessage(event.text);
     if (!message || message->round != roundAt(now_)) return;
-    if (now_ >= roundStartMs_ + kRoundMs) endRound();  // it may come with the tick that ends the round
+    // The message may arrive before the timer that ends the round.
+    if (now_ >= roundStartMs_ + kRoundMs) endRound();
     const auto absurd = [](const auto& e) { return e.second.maxFigure() > kMaxPlausibleUnits; };
     if (std::any_of(message->bids.begin(), message->bids.end(), absurd)) return;
     receiveBidMessage(event.sender, *message);
--- a/src/limedrum/scheduler.cpp
+++ b/src/limedrum/scheduler.cpp
@@ -1,4 +1,4 @@
-// The decision module's interface, and the order in which events and time are handled.
+// The public interface of Scheduler, and the order in which events and time are processed.
 #include "scheduler_impl.h"
 #include "settings.h"
 
@@ -66,7 +66,7 @@
 void Scheduler::Impl::sweep() {
     while (!requestChecks_.empty() && requestChecks_.begin()->first - settings_.tickMs <= now_) {
         Request& r = requests_.at(requestChecks_.begin()->second);
-        // One that waits for its key's turn may still get it, but for a shutdown.
+        // A request that waits for its key's turn may still get it, except during a shutdown.
         const bool mayWait = r.attemptsStarted > 0 || isOrdered(r);
         const bool mayBegin = r.attemptsInFlight > 0 || r.nextCheckMs < attemptUntilMs(r);
         const bool over = !mayWait || !mayBegin || r.nextCheckMs >= r.spec.expiresMs;
--- a/src/limedrum/shared_budgets.cpp
+++ b/src/limedrum/shared_budgets.cpp
@@ -1,4 +1,4 @@
-// Budgets that all hosts share: cold nodes and limits.
+// Shared budgets: the budgets of cold nodes and of plan limits, which all hosts share.
 #include "scheduler_impl.h"
 
 namespace limedrum {
@@ -44,7 +44,7 @@
     const int half = ++r.grantRequestCount % kBudgetCoordinators;
     sendBudgetMessage(budgetCoordinator(id, half),
                       {BudgetMessage::ask, id, half, figure, r.spec.units, now_});
-    return enough();  // it may be this host that keeps it
+    return enough();  // this host may be the coordinator and have granted the units
 }
 
 double Scheduler::Impl::localBudgetFraction(BudgetId id) const {
@@ -87,7 +87,7 @@
     if (cold ? n == fleet_.nodes.end() || m.bootMsOrPlanNo > now_ + kRoundMs
              : m.bootMsOrPlanNo >= static_cast<double>(settings_.plans.size()))
         return;
-    // Of two starts the later has the smaller budget.
+    // Of two start times, the later one gives the smaller budget.
     const auto b = cold ? coldBudget(std::max(m.bootMsOrPlanNo, coldSinceMs(n->second)))
                         : limitBudget(static_cast<int>(m.bootMsOrPlanNo));
     if (!b) return;
--- a/src/limedrum/shutdown.cpp
+++ b/src/limedrum/shutdown.cpp
@@ -1,4 +1,4 @@
-// The end of the host: open requests are cut to what is left of its time.
+// Shutdown: limits the deadlines of open requests to the time that the host has left.
 #include "scheduler_impl.h"
 
 namespace limedrum {
@@ -14,7 +14,7 @@
     r.spec.expiresMs = std::min(r.spec.expiresMs, shutdown_.answerByMs);
     if (r.dueMs > r.spec.expiresMs) {
         const bool queued = r.queued;
-        if (queued) fleet_.dequeue(r);  // the queue is in the order of due times
+        if (queued) fleet_.dequeue(r);  // the queue is ordered by due time
         r.dueMs = r.spec.expiresMs;
         if (queued) fleet_.enqueue(r);
     }
--- a/src/limedrum/token_allocation.cpp
+++ b/src/limedrum/token_allocation.cpp
@@ -1,4 +1,4 @@
-// Token allocation: what of a pressed node's rate is this host's, and whose requests it goes to.
+// Token allocation: this host's share of an overloaded node's rate, and its distribution among volumes.
 #include "scheduler_impl.h"
 
 namespace limedrum {
@@ -68,7 +68,8 @@
     updateAdmissionProbabilities(c, n);
     if (isOverloaded(n) && n.unitsPerSecond <= 0) n.unitsPerSecond = estimateRate(n);
     if (!isOverloaded(n) || n.unitsPerSecond <= 0) return false;
-    // A repeat past its aim earns least of all: it goes only where all else is expected to fit.
+    // A client's retry past its aim has the least worth, so it is admitted only if the tokens are expected
+    // to suffice for all other requests.
     const double rest =
         expectedRate(c.offeredThisRound, c.offeredLastRound) * (roundStartMs_ + kRoundMs - now_) / 1000;
     if (r.lateClientRetry) return tokenShare(c, n) - c.tokensSpent < rest;
