--- a/src/limedrum/admission.cpp
+++ b/src/limedrum/admission.cpp
@@ -10,74 +10,83 @@
         return actions_.push_back(
             RefuseRequest{event.id, std::min(kRefusalRetryAfterMs, settings_.maxRetryAfterMs)});
     recentRequests_.add(now_, 1);
-    const ClassSettings& cls = settings_.classes[event.classNo];
-    Request& r = requests_[event.id];
-    r.spec = event;
-    r.maxAttempts = settings_.attemptCap;
+    const ClassSettings& classSettings = settings_.classes[event.classNo];
+    Request& request = requests_[event.id];
+    request.spec = event;
+    request.maxAttempts = settings_.attemptCap;
     // A client may state a deadline beyond its class or more hosts than there are. Such figures are limited,
     // since they would distort what is learned from all requests of the class or the volume.
-    r.spec.expiresMs = std::min({event.expiresMs, now_ + cls.deadlineMs, shutdown_.answerByMs});
-    r.spec.hostsOfVolume = std::clamp(event.hostsOfVolume, 1, settings_.hosts);
-    r.spec.units =
+    request.spec.expiresMs =
+        std::min({event.expiresMs, now_ + classSettings.deadlineMs, shutdown_.answerByMs});
+    request.spec.hostsOfVolume = std::clamp(event.hostsOfVolume, 1, settings_.hosts);
+    request.spec.units =
         std::clamp(finiteOr(event.units, settings_.maxUnits), 0.0, std::max(settings_.maxUnits, 1e3));
-    if (event.planNo < 0 || event.planNo >= static_cast<int>(settings_.plans.size())) r.spec.planNo = 0;
-    r.arrivalMs = now_;
-    scheduleCheck(r, std::min(now_ + kFirstAttemptTimeFraction * (r.spec.expiresMs - now_),
-                              shutdown_.firstAttemptUntilMs));
+    if (event.planNo < 0 || event.planNo >= static_cast<int>(settings_.plans.size())) request.spec.planNo = 0;
+    request.arrivalMs = now_;
+    scheduleCheck(request, std::min(now_ + kFirstAttemptTimeFraction * (request.spec.expiresMs - now_),
+                                    shutdown_.firstAttemptUntilMs));
     // A client's retry carries the remaining time of its first try, so its aim counts from that one.
-    const double left = r.spec.expiresMs - now_;
-    const double life = longestLifetimesMs_[event.classNo] =
-        std::max(longestLifetimesMs_[event.classNo], left);
-    const double age = life - left > kClientRetryMinAgeMs ? life - left : 0;
-    r.lateClientRetry = age > cls.aimMs;
-    r.dueMs = r.lateClientRetry ? r.spec.expiresMs : std::min(now_ + cls.aimMs - age, r.spec.expiresMs);
-    r.cell = event.shard;
-    r.cell = event.shard >= 0 ? route(r, nullptr, false) : chooseCellForNewObject(r.spec.units);
-    if (isOrdered(r)) keyQueues_.enqueue(event.key, event.id);
+    const double remainingMs = request.spec.expiresMs - now_;
+    const double lifetimeMs = longestLifetimesMs_[event.classNo] =
+        std::max(longestLifetimesMs_[event.classNo], remainingMs);
+    const double ageMs = lifetimeMs - remainingMs > kClientRetryMinAgeMs ? lifetimeMs - remainingMs : 0;
+    request.lateClientRetry = ageMs > classSettings.aimMs;
+    request.dueMs = request.lateClientRetry
+                        ? request.spec.expiresMs
+                        : std::min(now_ + classSettings.aimMs - ageMs, request.spec.expiresMs);
+    request.cell = event.shard;
+    request.cell =
+        event.shard >= 0 ? route(request, nullptr, false) : chooseCellForNewObject(request.spec.units);
+    if (isOrdered(request)) keyQueues_.enqueue(event.key, event.id);
 
-    Volume& v = volumes_[event.volume];
-    v.planNo = r.spec.planNo;
-    v.hostCount = std::max(v.hostCount, r.spec.hostsOfVolume);
-    v.lastSeenMs = now_;
-    if (!r.lateClientRetry) v.offeredThisRound += r.spec.units;  // retries must not inflate the bids
-    recordDemand(r);
-    Node* n = servingNode(fleet_.cellForUpdate(r.cell));
+    Volume& volume = volumes_[event.volume];
+    volume.planNo = request.spec.planNo;
+    volume.hostCount = std::max(volume.hostCount, request.spec.hostsOfVolume);
+    volume.lastSeenMs = now_;
+    if (!request.lateClientRetry)
+        volume.offeredThisRound += request.spec.units;  // retries must not inflate the bids
+    recordDemand(request);
+    Node* node = servingNode(fleet_.cellForUpdate(request.cell));
     // A request that its holder would refuse goes to another holder that is not overloaded.
-    bool over = n != nullptr && !isBlockedAsSilent(*n) && shouldThin(fleet_.cellForUpdate(r.cell), *n, r);
-    if (const CellId to = over ? route(r, n, true) : r.cell; to != r.cell) {
-        r.cell = to;
-        recordDemand(r);
-        n = servingNode(fleet_.cellForUpdate(to));
-        over = false;
+    bool thinned = node != nullptr && !isBlockedAsSilent(*node) &&
+                   shouldThin(fleet_.cellForUpdate(request.cell), *node, request);
+    if (const CellId targetCell = thinned ? route(request, node, true) : request.cell;
+        targetCell != request.cell) {
+        request.cell = targetCell;
+        recordDemand(request);
+        node = servingNode(fleet_.cellForUpdate(targetCell));
+        thinned = false;
     }
-    Cell& c = fleet_.cellForUpdate(r.cell);
-    Demand& d = c.volumes[event.volume];
-    r.worthPerUnit = cls.worth * planOf(v.planNo).worthFactor * (r.lateClientRetry ? cls.lateWorth : 1);
-    if (n != nullptr && isBlockedAsSilent(*n)) return refuseOrFail(event.id, silentNode);
-    if (over) return refuseOrFail(event.id, thinnedOut);
-    if (n != nullptr && d.fairUnitsPerSecond > 0) {
-        const double asked = expectedRate(d.offeredThisRound, d.offeredLastRound);
-        if (asked > d.fairUnitsPerSecond)
-            r.worthPerUnit *= settings_.withinShare * d.fairUnitsPerSecond / asked +
-                              settings_.spareWorth * (1 - d.fairUnitsPerSecond / asked);
+    Cell& cell = fleet_.cellForUpdate(request.cell);
+    Demand& demand = cell.volumes[event.volume];
+    request.worthPerUnit = classSettings.worth * planOf(volume.planNo).worthFactor *
+                           (request.lateClientRetry ? classSettings.lateWorth : 1);
+    if (node != nullptr && isBlockedAsSilent(*node)) return refuseOrFail(event.id, silentNode);
+    if (thinned) return refuseOrFail(event.id, thinnedOut);
+    if (node != nullptr && demand.fairUnitsPerSecond > 0) {
+        const double askedRate = expectedRate(demand.offeredThisRound, demand.offeredLastRound);
+        if (askedRate > demand.fairUnitsPerSecond)
+            request.worthPerUnit *= settings_.withinShare * demand.fairUnitsPerSecond / askedRate +
+                                    settings_.spareWorth * (1 - demand.fairUnitsPerSecond / askedRate);
     }
-    c.tokensSpent += r.spec.units;
-    fleet_.enqueue(r);
-    sendQueued(r.cell);
+    cell.tokensSpent += request.spec.units;
+    fleet_.enqueue(request);
+    sendQueued(request.cell);
 }
 
-bool Scheduler::Impl::isBlockedAsSilent(const Node& n) const {
-    return n.silentSinceMs > 0 && now_ - n.lastTrickleMs < kSilentNodeAttemptIntervalMs;
+bool Scheduler::Impl::isBlockedAsSilent(const Node& node) const {
+    return node.silentSinceMs > 0 && now_ - node.lastTrickleMs < kSilentNodeAttemptIntervalMs;
 }
 
-void Scheduler::Impl::recordDemand(const Request& r) {
-    fleet_.cellForUpdate(r.cell).addDemand(r.spec.volume, classOf(r).worth,
-                                           r.lateClientRetry ? 0 : r.spec.units);
+void Scheduler::Impl::recordDemand(const Request& request) {
+    fleet_.cellForUpdate(request.cell)
+        .addDemand(request.spec.volume, classOf(request).worth,
+                   request.lateClientRetry ? 0 : request.spec.units);
 }
 
-double Scheduler::Impl::expectedRate(double seen, double last) const {
-    const double passed = std::max(now_ - roundStartMs_, kMinElapsedRoundFraction * kRoundMs);
-    return std::max(last / kRoundMs, seen / passed) * 1000;
+double Scheduler::Impl::expectedRate(double offeredThisRound, double offeredLastRound) const {
+    const double elapsedMs = std::max(now_ - roundStartMs_, kMinElapsedRoundFraction * kRoundMs);
+    return std::max(offeredLastRound / kRoundMs, offeredThisRound / elapsedMs) * 1000;
 }
 
 }  // namespace limedrum
--- a/src/limedrum/failure_detection.cpp
+++ b/src/limedrum/failure_detection.cpp
@@ -3,53 +3,59 @@
 
 namespace limedrum {
 
-void Scheduler::Impl::detectSilence(Node& n) {
-    if (n.silentSinceMs > 0 || n.attemptsInFlight == 0 || n.sendsSinceAnswer < kMinSendsForSilence ||
-        now_ - n.lastHeardMs < kSilentAfterAims * tightestAimMs_)
+void Scheduler::Impl::detectSilence(Node& node) {
+    if (node.silentSinceMs > 0 || node.attemptsInFlight == 0 || node.sendsSinceAnswer < kMinSendsForSilence ||
+        now_ - node.lastHeardMs < kSilentAfterAims * tightestAimMs_)
         return;
-    n.silentSinceMs = std::max(n.lastHeardMs, 1.0);
-    n.lastTrickleMs = now_;
-    log("node " + std::to_string(n.id) + " answers nothing");
-    if (n.weight <= 0) return;
-    for (const auto& [id, f] : attempts_)  // another holder may answer them
-        if (f.node == n.id) cancelForRetry(id, f, n, tightestAimMs_);
+    node.silentSinceMs = std::max(node.lastHeardMs, 1.0);
+    node.lastTrickleMs = now_;
+    log("node " + std::to_string(node.id) + " answers nothing");
+    if (node.weight <= 0) return;
+    // Other holders of the shard may answer the attempts in flight.
+    for (const auto& [id, attempt] : attempts_)
+        if (attempt.node == node.id) cancelForRetry(id, attempt, node, tightestAimMs_);
 }
 
-double Scheduler::Impl::lossTimeoutMs(const Node& n, double units) const {
+double Scheduler::Impl::lossTimeoutMs(const Node& node, double units) const {
     return std::max(kLossTimeoutMinAims * tightestAimMs_,
-                    kLossTimeoutAnswerTimes * (n.usualMsPerUnit * units + n.smoothedDelayMs));
+                    kLossTimeoutAnswerTimes * (node.usualMsPerUnit * units + node.smoothedDelayMs));
 }
 
 void Scheduler::Impl::detectLostAttempts() {
     while (!attemptChecks_.empty() && attemptChecks_.begin()->first <= now_) {
         const AttemptId id = attemptChecks_.begin()->second;
         attemptChecks_.erase(attemptChecks_.begin());
-        const auto at = attempts_.find(id);
-        if (at == attempts_.end()) continue;
-        Attempt& f = at->second;
-        const auto node = fleet_.nodes.find(f.node);
-        if (node == fleet_.nodes.end()) continue;
-        Node& n = node->second;
-        const double wait = lossTimeoutMs(n, f.units);
-        if (n.latestAnsweredSendMs <= f.sentMs + wait / 2) {  // nothing sent well later is answered
-            attemptChecks_.emplace(now_ + wait / 2, id);
+        const auto attemptIt = attempts_.find(id);
+        if (attemptIt == attempts_.end()) continue;
+        Attempt& attempt = attemptIt->second;
+        const auto nodeIt = fleet_.nodes.find(attempt.node);
+        if (nodeIt == fleet_.nodes.end()) continue;
+        Node& node = nodeIt->second;
+        const double timeoutMs = lossTimeoutMs(node, attempt.units);
+        // Not lost yet if no attempt that was sent well later has been answered.
+        if (node.latestAnsweredSendMs <= attempt.sentMs + timeoutMs / 2) {
+            attemptChecks_.emplace(now_ + timeoutMs / 2, id);
             continue;
         }
-        if (!f.presumedLost) n.removeAttempt(f.units);
-        f.presumedLost = true;
-        cancelForRetry(id, f, n, wait / 2);
+        if (!attempt.presumedLost) node.removeAttempt(attempt.units);
+        attempt.presumedLost = true;
+        cancelForRetry(id, attempt, node, timeoutMs / 2);
     }
 }
 
-void Scheduler::Impl::cancelForRetry(const AttemptId& id, const Attempt& f, const Node& n, double neededMs) {
-    const auto held = requests_.find(id.first);
-    if (!settings_.mayCancel || held == requests_.end()) return;
-    Request& r = held->second;
-    const bool worth = !r.streaming && now_ + neededMs < r.spec.expiresMs &&
-                       now_ <= shutdown_.furtherAttemptUntilMs &&
-                       servingNode(fleet_.cellForUpdate(r.cell)) == &n && !r.cancelPending;
-    if (!worth || !mayRepeat(r, std::min(r.mayHaveRunSinceMs, f.sentMs)) || !retryBudgetAllows()) return;
-    r.cancelPending = true;
+void Scheduler::Impl::cancelForRetry(const AttemptId& id, const Attempt& attempt, const Node& node,
+                                     double neededMs) {
+    const auto requestIt = requests_.find(id.first);
+    if (!settings_.mayCancel || requestIt == requests_.end()) return;
+    Request& request = requestIt->second;
+    const bool worthwhile = !request.streaming && now_ + neededMs < request.spec.expiresMs &&
+                            now_ <= shutdown_.furtherAttemptUntilMs &&
+                            servingNode(fleet_.cellForUpdate(request.cell)) == &node &&
+                            !request.cancelPending;
+    if (!worthwhile || !mayRepeat(request, std::min(request.mayHaveRunSinceMs, attempt.sentMs)) ||
+        !retryBudgetAllows())
+        return;
+    request.cancelPending = true;
     actions_.push_back(CancelAttempt{id.first, id.second});
 }
 
--- a/src/limedrum/node_selection.cpp
+++ b/src/limedrum/node_selection.cpp
@@ -17,98 +17,106 @@
     if (settings_.nodeListOnRequest && event.kind != NodeListKind::restored) subscribeDueMs_ = kNever;
     if (event.kind != NodeListKind::update) fleet_.markAllGone();
     for (const NodeEntry& entry : event.entries) {
-        Node& n = fleet_.upsertNode(entry);
-        const double boot = finiteOr(entry.bootMs, 0);
-        if (boot > n.bootMs) n.bootMs = boot, n.suspectedRestartMs = 0;
+        Node& node = fleet_.upsertNode(entry);
+        const double bootMs = finiteOr(entry.bootMs, 0);
+        if (bootMs > node.bootMs) node.bootMs = bootMs, node.suspectedRestartMs = 0;
     }
 }
 
-Node* Scheduler::Impl::servingNode(const Cell& c) const {
+Node* Scheduler::Impl::servingNode(const Cell& cell) const {
     Node* best = nullptr;
-    const auto rank = [](const Node& x) { return std::tuple(x.silentSinceMs > 0, x.bootMs, x.id); };
-    for (Node* n : c.holders) {
-        if (n->state == NodeState::serving && (best == nullptr || rank(*n) < rank(*best))) best = n;
+    const auto rank = [](const Node& candidate) {
+        return std::tuple(candidate.silentSinceMs > 0, candidate.bootMs, candidate.id);
+    };
+    for (Node* node : cell.holders) {
+        if (node->state == NodeState::serving && (best == nullptr || rank(*node) < rank(*best))) best = node;
     }
     return best;
 }
 
 CellId Scheduler::Impl::chooseCellForNewObject(double units) {
-    std::vector<Cell*> looks;
-    double usual = 0, known = 0;  // mean time per unit, used for nodes without measurements
-    const auto learn = [&](const Node& n) { usual += n.usualMsPerUnit, known += n.usualMsPerUnit > 0; };
+    std::vector<Cell*> candidates;
+    // The mean time per unit of the measured nodes, assumed of the others.
+    double defaultMsPerUnit = 0, measuredNodes = 0;
+    const auto addMeasurement = [&](const Node& node) {
+        defaultMsPerUnit += node.usualMsPerUnit, measuredNodes += node.usualMsPerUnit > 0;
+    };
     if (fleet_.cellsWithHolders.size() <= kMaxPlacementSamples) {
-        looks = fleet_.cellsById();
-        for (const Node* n : fleet_.nodesById()) learn(*n);
+        candidates = fleet_.cellsById();
+        for (const Node* node : fleet_.nodesById()) addMeasurement(*node);
     } else {
-        for (std::size_t draws = 0; draws < kMaxPlacementSamples && looks.size() < kMaxPlacementSamples / 4;
-             ++draws)
-            if (Cell* c = fleet_.cellsWithHolders[random_.uniformInt(
+        for (std::size_t draws = 0;
+             draws < kMaxPlacementSamples && candidates.size() < kMaxPlacementSamples / 4; ++draws)
+            if (Cell* cell = fleet_.cellsWithHolders[random_.uniformInt(
                     static_cast<int>(fleet_.cellsWithHolders.size()))];
-                servingNode(*c))
-                looks.push_back(c), learn(*c->holders.front());
-        if (looks.empty()) looks = fleet_.cellsById();
+                servingNode(*cell))
+                candidates.push_back(cell), addMeasurement(*cell->holders.front());
+        if (candidates.empty()) candidates = fleet_.cellsById();
     }
-    usual = known > 0 ? usual / known : 1;
-    CellId best = -1;
+    defaultMsPerUnit = measuredNodes > 0 ? defaultMsPerUnit / measuredNodes : 1;
+    CellId bestCell = -1;
     double bestMs = kNever;
-    for (const Cell* c : looks) {
-        Node* n = servingNode(*c);
-        if (n == nullptr) continue;
-        const double work =
-            (n->unitsInFlight + c->queuedUnits + units) * (n->usualMsPerUnit > 0 ? n->usualMsPerUnit : usual);
-        double ms = (n->smoothedDelayMs + work) * (0.75 + 0.5 * random_.uniform());
-        if (n->attemptsInFlight > 0)
-            ms = std::max(ms, now_ - n->lastHeardMs);  // the next answer takes at least that long
-        if (isOverloaded(*n)) ms += tightestAimMs_;
-        if (now_ - n->delayMeasuredMs > kConnectionLikelyOpenMs)
-            ms += kNewConnectionAimFraction * tightestAimMs_;
-        if (isCold(*n)) ms += 10 * tightestAimMs_;
-        if (n->silentSinceMs > 0) ms += 100 * tightestAimMs_;
-        if (ms < bestMs) bestMs = ms, best = c->id;
+    for (const Cell* cell : candidates) {
+        Node* node = servingNode(*cell);
+        if (node == nullptr) continue;
+        const double workMs = (node->unitsInFlight + cell->queuedUnits + units) *
+                              (node->usualMsPerUnit > 0 ? node->usualMsPerUnit : defaultMsPerUnit);
+        double expectedMs = (node->smoothedDelayMs + workMs) * (0.75 + 0.5 * random_.uniform());
+        // The next answer will take at least as long as the node has been without one.
+        if (node->attemptsInFlight > 0) expectedMs = std::max(expectedMs, now_ - node->lastHeardMs);
+        if (isOverloaded(*node)) expectedMs += tightestAimMs_;
+        if (now_ - node->delayMeasuredMs > kConnectionLikelyOpenMs)
+            expectedMs += kNewConnectionAimFraction * tightestAimMs_;
+        if (isCold(*node)) expectedMs += 10 * tightestAimMs_;
+        if (node->silentSinceMs > 0) expectedMs += 100 * tightestAimMs_;
+        if (expectedMs < bestMs) bestMs = expectedMs, bestCell = cell->id;
     }
-    return best;
+    return bestCell;
 }
 
-CellId Scheduler::Impl::route(const Request& r, const Node* avoid, bool calm) const {
-    const auto spread = fleet_.weightedHolders.find(r.spec.shard);
-    if (spread == fleet_.weightedHolders.end()) return r.cell;
-    const std::uint64_t piece = fnv1aHash(r.spec.key.empty() ? r.spec.id : r.spec.key);
+CellId Scheduler::Impl::route(const Request& request, const Node* avoid, bool calm) const {
+    const auto holders = fleet_.weightedHolders.find(request.spec.shard);
+    if (holders == fleet_.weightedHolders.end()) return request.cell;
+    const std::uint64_t piece = fnv1aHash(request.spec.key.empty() ? request.spec.id : request.spec.key);
     const Node* best = nullptr;
     std::pair<int, double> bestRank;
-    for (const Node* n : spread->second) {
-        const int rank = n->state != NodeState::serving ? 0
-                         : n == avoid || isBlockedAsSilent(*n) || (calm && (isOverloaded(*n) || isCold(*n)))
-                             ? 1
-                             : 2;
-        const std::pair own(rank, rendezvousScore(piece, n->id, n->weight * warmUpFraction(*n)));
-        if (best == nullptr || own > bestRank) best = n, bestRank = own;
+    for (const Node* node : holders->second) {
+        const int suitability =
+            node->state != NodeState::serving ? 0
+            : node == avoid || isBlockedAsSilent(*node) || (calm && (isOverloaded(*node) || isCold(*node)))
+                ? 1
+                : 2;
+        const std::pair nodeRank(suitability,
+                                 rendezvousScore(piece, node->id, node->weight * warmUpFraction(*node)));
+        if (best == nullptr || nodeRank > bestRank) best = node, bestRank = nodeRank;
     }
-    return bestRank.first < 2 && avoid != nullptr ? r.cell : best->cell;
+    return bestRank.first < 2 && avoid != nullptr ? request.cell : best->cell;
 }
 
-void Scheduler::Impl::rerouteQueue(const Cell& c) {
-    for (const auto& [due, id] : std::set(c.queue)) {
-        Request& r = requests_.at(id);
-        const CellId to = r.spec.shard < 0 ? chooseCellForNewObject(r.spec.units) : route(r, nullptr, false);
-        if (to != -1 && to != r.cell) fleet_.moveToCell(r, to);
+void Scheduler::Impl::rerouteQueue(const Cell& cell) {
+    for (const auto& [dueMs, id] : std::set(cell.queue)) {
+        Request& request = requests_.at(id);
+        const CellId targetCell = request.spec.shard < 0 ? chooseCellForNewObject(request.spec.units)
+                                                         : route(request, nullptr, false);
+        if (targetCell != -1 && targetCell != request.cell) fleet_.moveToCell(request, targetCell);
     }
 }
 
-double Scheduler::Impl::warmUpFraction(const Node& n) const {
-    const double share = settings_.rules.coldShare;
-    const double part = (now_ - coldSinceMs(n)) / std::max(settings_.rules.warmWithinMs, 1.0);
-    return isCold(n) ? std::clamp(share + (1 - share) * part, 0.01, 1.0) : 1;
+double Scheduler::Impl::warmUpFraction(const Node& node) const {
+    const double coldShare = settings_.rules.coldShare;
+    const double elapsedFraction = (now_ - coldSinceMs(node)) / std::max(settings_.rules.warmWithinMs, 1.0);
+    return isCold(node) ? std::clamp(coldShare + (1 - coldShare) * elapsedFraction, 0.01, 1.0) : 1;
 }
 
-bool Scheduler::Impl::isCold(const Node& n) const { return coldBudget(coldSinceMs(n)).has_value(); }
+bool Scheduler::Impl::isCold(const Node& node) const { return coldBudget(coldSinceMs(node)).has_value(); }
 
-double Scheduler::Impl::estimateRate(const Node& n) const {
-    double rate = 0, weight = 0;
-    const auto spread = fleet_.weightedHolders.find(n.shard);
-    if (n.weight <= 0 || spread == fleet_.weightedHolders.end()) return 0;
-    for (const Node* other : spread->second)
-        if (other->unitsPerSecond > 0) rate += other->unitsPerSecond, weight += other->weight;
-    return weight > 0 ? n.weight * rate / weight : 0;
+double Scheduler::Impl::estimateRate(const Node& node) const {
+    double knownRate = 0, knownWeight = 0;
+    const auto holders = fleet_.weightedHolders.find(node.shard);
+    if (node.weight <= 0 || holders == fleet_.weightedHolders.end()) return 0;
+    for (const Node* other : holders->second)
+        if (other->unitsPerSecond > 0) knownRate += other->unitsPerSecond, knownWeight += other->weight;
+    return knownWeight > 0 ? node.weight * knownRate / knownWeight : 0;
 }
 
 }  // namespace limedrum
--- a/src/limedrum/outcomes.cpp
+++ b/src/limedrum/outcomes.cpp
@@ -4,132 +4,137 @@
 namespace limedrum {
 
 void Scheduler::Impl::on(const OutcomeEvent& event) {
-    const auto at = attempts_.find({event.id, event.attempt});
-    if (at == attempts_.end()) return;
-    const Attempt flight = at->second;
-    attempts_.erase(at);
-    const bool unsure = event.outcome == Outcome::timedOut || event.outcome == Outcome::reset ||
-                        event.outcome == Outcome::cancelled;
-    if (!flight.orderingKey.empty())
-        keyQueues_.attemptEnded(flight.orderingKey, event.id,
-                                unsure ? now_ + settings_.rules.orderPauseMs : 0);
+    const auto attemptIt = attempts_.find({event.id, event.attempt});
+    if (attemptIt == attempts_.end()) return;
+    const Attempt attempt = attemptIt->second;
+    attempts_.erase(attemptIt);
+    const bool outcomeUnknown = event.outcome == Outcome::timedOut || event.outcome == Outcome::reset ||
+                                event.outcome == Outcome::cancelled;
+    if (!attempt.orderingKey.empty())
+        keyQueues_.attemptEnded(attempt.orderingKey, event.id,
+                                outcomeUnknown ? now_ + settings_.rules.orderPauseMs : 0);
     const bool answered = event.outcome == Outcome::done || event.outcome == Outcome::error ||
                           event.outcome == Outcome::rejected;
-    if (const auto nodeAt = fleet_.nodes.find(flight.node); nodeAt != fleet_.nodes.end()) {
-        Node& n = nodeAt->second;
-        if (!flight.presumedLost) n.removeAttempt(flight.units);
+    if (const auto nodeIt = fleet_.nodes.find(attempt.node); nodeIt != fleet_.nodes.end()) {
+        Node& node = nodeIt->second;
+        if (!attempt.presumedLost) node.removeAttempt(attempt.units);
         if (answered) {
-            if (n.silentSinceMs > 0) {
-                log("node " + std::to_string(flight.node) + " answers again");
-                if (now_ - n.silentSinceMs > kRestartSilenceFactor * kSilentAfterAims * tightestAimMs_)
-                    n.suspectedRestartMs = now_;
-                n.silentSinceMs = 0;
+            if (node.silentSinceMs > 0) {
+                log("node " + std::to_string(attempt.node) + " answers again");
+                if (now_ - node.silentSinceMs > kRestartSilenceFactor * kSilentAfterAims * tightestAimMs_)
+                    node.suspectedRestartMs = now_;
+                node.silentSinceMs = 0;
             }
-            n.lastHeardMs = now_;
-            n.sendsSinceAnswer = 0;
-            n.latestAnsweredSendMs = std::max(n.latestAnsweredSendMs, flight.sentMs);
-        } else if (((event.outcome == Outcome::timedOut && n.sendsSinceAnswer >= kMinSendsForSilence) ||
+            node.lastHeardMs = now_;
+            node.sendsSinceAnswer = 0;
+            node.latestAnsweredSendMs = std::max(node.latestAnsweredSendMs, attempt.sentMs);
+        } else if (((event.outcome == Outcome::timedOut && node.sendsSinceAnswer >= kMinSendsForSilence) ||
                     event.outcome == Outcome::connectFailed) &&
-                   n.state == NodeState::serving && n.lastHeardMs <= flight.sentMs && n.silentSinceMs <= 0) {
-            n.silentSinceMs = flight.sentMs;
+                   node.state == NodeState::serving && node.lastHeardMs <= attempt.sentMs &&
+                   node.silentSinceMs <= 0) {
+            node.silentSinceMs = attempt.sentMs;
         }
-        if (event.outcome == Outcome::rejected) markOverloaded(n);
+        if (event.outcome == Outcome::rejected) markOverloaded(node);
         // If the node has answered an attempt that was sent later, it has served this one too and only the
         // answer was lost.
-        if (unsure && n.latestAnsweredSendMs > flight.sentMs)
-            fleet_.cellForUpdate(flight.cell).currentRound.servedUnits += flight.units;
-        if (event.outcome == Outcome::done && flight.units > 0) {
-            const double took = finiteOr(event.durationMs, 0);
-            if (n.usualMsPerUnit <= 0) n.usualMsPerUnit = took / flight.units;
-            const double over = took - flight.units * n.usualMsPerUnit;
-            const double gain =
-                std::clamp((now_ - n.delayMeasuredMs) / kDelayEwmaFullWeightMs, kDelayEwmaMinWeight, 1.0);
-            n.delayMeasuredMs = now_;
-            n.smoothedDelayMs += gain * (std::max(0.0, over) - n.smoothedDelayMs);
-            if (n.smoothedDelayMs > kOverloadDelayAimFraction * tightestAimMs_)
-                markOverloaded(n);
+        if (outcomeUnknown && node.latestAnsweredSendMs > attempt.sentMs)
+            fleet_.cellForUpdate(attempt.cell).currentRound.servedUnits += attempt.units;
+        if (event.outcome == Outcome::done && attempt.units > 0) {
+            const double durationMs = finiteOr(event.durationMs, 0);
+            if (node.usualMsPerUnit <= 0) node.usualMsPerUnit = durationMs / attempt.units;
+            const double delayMs = durationMs - attempt.units * node.usualMsPerUnit;
+            const double weight =
+                std::clamp((now_ - node.delayMeasuredMs) / kDelayEwmaFullWeightMs, kDelayEwmaMinWeight, 1.0);
+            node.delayMeasuredMs = now_;
+            node.smoothedDelayMs += weight * (std::max(0.0, delayMs) - node.smoothedDelayMs);
+            if (node.smoothedDelayMs > kOverloadDelayAimFraction * tightestAimMs_)
+                markOverloaded(node);
             else
-                n.localOverloadUntilMs =
-                    std::min(n.localOverloadUntilMs, n.lastOverloadSignMs + kOverloadHoldMs);
-            if (!isOverloaded(n))
-                n.usualMsPerUnit *=
-                    1 + kUnitTimeQuantileStep * (over > 0 ? kUnitTimeQuantile : kUnitTimeQuantile - 1);
-            fleet_.cellForUpdate(flight.cell).currentRound.servedUnits += flight.units;
-            if (observesOverload(n))
-                fleet_.cellForUpdate(flight.cell).currentRound.overloadUnits += flight.units;
+                node.localOverloadUntilMs =
+                    std::min(node.localOverloadUntilMs, node.lastOverloadSignMs + kOverloadHoldMs);
+            if (!isOverloaded(node))
+                node.usualMsPerUnit *=
+                    1 + kUnitTimeQuantileStep * (delayMs > 0 ? kUnitTimeQuantile : kUnitTimeQuantile - 1);
+            fleet_.cellForUpdate(attempt.cell).currentRound.servedUnits += attempt.units;
+            if (observesOverload(node))
+                fleet_.cellForUpdate(attempt.cell).currentRound.overloadUnits += attempt.units;
         }
     }
-    if (const auto v = volumes_.find(flight.volume); v != volumes_.end()) {
-        if (event.outcome == Outcome::done) v->second.servedViaThisHost += flight.units;
-        v->second.servedViaOtherHosts +=
+    if (const auto volumeIt = volumes_.find(attempt.volume); volumeIt != volumes_.end()) {
+        if (event.outcome == Outcome::done) volumeIt->second.servedViaThisHost += attempt.units;
+        volumeIt->second.servedViaOtherHosts +=
             std::clamp(finiteOr(event.unitsViaOtherHosts, 0), 0.0, kMaxPlausibleUnits);
     }
-    const auto held = requests_.find(event.id);
-    if (held == requests_.end()) return sendQueued(flight.cell);
-    Request& r = held->second;
-    --r.attemptsInFlight;
-    if (unsure || event.outcome == Outcome::error)
-        r.mayHaveRunSinceMs = std::min(r.mayHaveRunSinceMs, flight.sentMs);
+    const auto requestIt = requests_.find(event.id);
+    if (requestIt == requests_.end()) return sendQueued(attempt.cell);
+    Request& request = requestIt->second;
+    --request.attemptsInFlight;
+    if (outcomeUnknown || event.outcome == Outcome::error)
+        request.mayHaveRunSinceMs = std::min(request.mayHaveRunSinceMs, attempt.sentMs);
     if (event.requestFinished || event.outcome == Outcome::done) {
         eraseRequest(event.id);
-    } else if (r.attemptsInFlight == 0) {
-        r.notBeforeMs = now_ + (r.cancelPending ? 0 : kRetryDelayAimFraction * tightestAimMs_);
-        r.cancelPending = false;
+    } else if (request.attemptsInFlight == 0) {
+        request.notBeforeMs = now_ + (request.cancelPending ? 0 : kRetryDelayAimFraction * tightestAimMs_);
+        request.cancelPending = false;
         const bool pointless = event.outcome == Outcome::notSent || event.outcome == Outcome::timedOut ||
-                               r.streaming || r.notBeforeMs >= r.spec.expiresMs - settings_.tickMs ||
-                               r.notBeforeMs > shutdown_.furtherAttemptUntilMs;
-        const bool over = pointless || !mayRepeat(r, r.mayHaveRunSinceMs) || !retryBudgetAllows();
-        if (over) return refuseOrFail(event.id, retriesExhausted), sendQueued(flight.cell);
-        if (const auto at = fleet_.nodes.find(flight.node); at != fleet_.nodes.end())
-            r.cell = route(r, &at->second, false);
-        fleet_.enqueue(r);
-        if (r.cell != flight.cell) sendQueued(r.cell);
+                               request.streaming ||
+                               request.notBeforeMs >= request.spec.expiresMs - settings_.tickMs ||
+                               request.notBeforeMs > shutdown_.furtherAttemptUntilMs;
+        const bool exhausted =
+            pointless || !mayRepeat(request, request.mayHaveRunSinceMs) || !retryBudgetAllows();
+        if (exhausted) return refuseOrFail(event.id, retriesExhausted), sendQueued(attempt.cell);
+        if (const auto nodeIt = fleet_.nodes.find(attempt.node); nodeIt != fleet_.nodes.end())
+            request.cell = route(request, &nodeIt->second, false);
+        fleet_.enqueue(request);
+        if (request.cell != attempt.cell) sendQueued(request.cell);
     }
-    sendQueued(flight.cell);
+    sendQueued(attempt.cell);
 }
 
 void Scheduler::Impl::on(const StreamStartedEvent& event) {
-    const auto at = requests_.find(event.id);
-    if (at == requests_.end()) return;
-    at->second.streaming = true;  // a started stream has no deadline
-    requestChecks_.erase({at->second.nextCheckMs, event.id});
+    const auto requestIt = requests_.find(event.id);
+    if (requestIt == requests_.end()) return;
+    requestIt->second.streaming = true;  // a started stream has no deadline
+    requestChecks_.erase({requestIt->second.nextCheckMs, event.id});
 }
 
 void Scheduler::Impl::on(const RequestAbandonedEvent& event) { eraseRequest(event.id); }
 
 void Scheduler::Impl::refuseOrFail(const RequestId& id, UnservedCause cause) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end()) return;
-    const Request& r = at->second;
-    unservedThisRound_.unitsByCause[cause] += r.spec.units;
-    const ClassSettings& cls = classOf(r);
-    const bool harmless = cls.idempotency == Idempotency::idempotent ||
-                          (r.attemptsInFlight == 0 && r.mayHaveRunSinceMs == kNever) ||
-                          (cls.idempotency == Idempotency::deduplicated && cls.dedupScope == DedupScope::all);
+    const auto requestIt = requests_.find(id);
+    if (requestIt == requests_.end()) return;
+    const Request& request = requestIt->second;
+    unservedThisRound_.unitsByCause[cause] += request.spec.units;
+    const ClassSettings& classSettings = classOf(request);
+    const bool safeToRepeat = classSettings.idempotency == Idempotency::idempotent ||
+                              (request.attemptsInFlight == 0 && request.mayHaveRunSinceMs == kNever) ||
+                              (classSettings.idempotency == Idempotency::deduplicated &&
+                               classSettings.dedupScope == DedupScope::all);
     // The client can retry soon enough to be answered in time. If no node answers, it waits as long as
     // permitted.
-    const Node* n = servingNode(fleet_.cellForUpdate(r.cell));
-    const double backMs =
-        n == nullptr || n->silentSinceMs > 0 ? settings_.maxRetryAfterMs : kRefusalRetryAfterMs;
-    if (harmless)
-        actions_.push_back(RefuseRequest{id, std::min(backMs, settings_.maxRetryAfterMs)});
+    const Node* node = servingNode(fleet_.cellForUpdate(request.cell));
+    const double retryAfterMs =
+        node == nullptr || node->silentSinceMs > 0 ? settings_.maxRetryAfterMs : kRefusalRetryAfterMs;
+    if (safeToRepeat)
+        actions_.push_back(RefuseRequest{id, std::min(retryAfterMs, settings_.maxRetryAfterMs)});
     else
         actions_.push_back(FailRequest{id});
     eraseRequest(id);
 }
 
 void Scheduler::Impl::eraseRequest(const RequestId& id) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end()) return;
-    Request& r = at->second;
-    fleet_.dequeue(r);
-    if (settings_.mayCancel && r.attemptsInFlight > 0 && !r.streaming) {
-        for (auto f = attempts_.lower_bound({id, 0}); f != attempts_.end() && f->first.first == id; ++f)
-            actions_.push_back(CancelAttempt{id, f->first.second});
+    const auto requestIt = requests_.find(id);
+    if (requestIt == requests_.end()) return;
+    Request& request = requestIt->second;
+    fleet_.dequeue(request);
+    if (settings_.mayCancel && request.attemptsInFlight > 0 && !request.streaming) {
+        for (auto attemptIt = attempts_.lower_bound({id, 0});
+             attemptIt != attempts_.end() && attemptIt->first.first == id; ++attemptIt)
+            actions_.push_back(CancelAttempt{id, attemptIt->first.second});
     }
-    requestChecks_.erase({r.nextCheckMs, id});
-    if (isOrdered(r)) keyQueues_.requestFinished(r.spec.key, id);
-    requests_.erase(at);
+    requestChecks_.erase({request.nextCheckMs, id});
+    if (isOrdered(request)) keyQueues_.requestFinished(request.spec.key, id);
+    requests_.erase(requestIt);
 }
 
 }  // namespace limedrum
--- a/src/limedrum/scheduler.cpp
+++ b/src/limedrum/scheduler.cpp
@@ -13,12 +13,14 @@
 void Scheduler::Impl::updateSettings(Settings settings) {
     settings_ = validatedSettings(std::move(settings));
     tightestAimMs_ = kNever;
-    for (const ClassSettings& c : settings_.classes)
-        if (!c.retired) tightestAimMs_ = std::min(tightestAimMs_, c.aimMs > 0 ? c.aimMs : c.deadlineMs);
+    for (const ClassSettings& classSettings : settings_.classes)
+        if (!classSettings.retired)
+            tightestAimMs_ = std::min(
+                tightestAimMs_, classSettings.aimMs > 0 ? classSettings.aimMs : classSettings.deadlineMs);
     longestBudgetWindowMs_ = settings_.rules.fallMs;
     for (std::size_t i = 0; i < settings_.plans.size(); ++i)
-        if (const auto b = limitBudget(static_cast<int>(i)))
-            longestBudgetWindowMs_ = std::max(longestBudgetWindowMs_, b->windowMs);
+        if (const auto limit = limitBudget(static_cast<int>(i)))
+            longestBudgetWindowMs_ = std::max(longestBudgetWindowMs_, limit->windowMs);
 }
 
 std::vector<Action> Scheduler::Impl::handle(double nowMs, std::span<const Event> events) {
@@ -37,13 +39,14 @@
 }
 
 std::vector<NodeStatus> Scheduler::Impl::nodeStatuses() const {
-    std::vector<NodeStatus> out;
-    for (const Node* n : fleet_.nodesById()) {
-        if (n->state == NodeState::gone) continue;
-        const bool chosen = servingNode(fleet_.cells.at(n->cell)) == n;
-        out.push_back({n->id, n->shard, n->state, chosen, n->silentSinceMs > 0, n->unitsPerSecond});
+    std::vector<NodeStatus> statuses;
+    for (const Node* node : fleet_.nodesById()) {
+        if (node->state == NodeState::gone) continue;
+        const bool isServing = servingNode(fleet_.cells.at(node->cell)) == node;
+        statuses.push_back(
+            {node->id, node->shard, node->state, isServing, node->silentSinceMs > 0, node->unitsPerSecond});
     }
-    return out;
+    return statuses;
 }
 
 std::size_t Scheduler::Impl::tableSize() const {
@@ -53,24 +56,25 @@
            coordinatorBudgets_.size();
 }
 
-double Scheduler::Impl::nextCheckMs(const Request& r) const {
-    const double untilMs = attemptUntilMs(r);
-    return r.nextCheckMs < untilMs ? std::min(r.spec.expiresMs, untilMs) : r.spec.expiresMs;
+double Scheduler::Impl::nextCheckMs(const Request& request) const {
+    const double untilMs = attemptUntilMs(request);
+    return request.nextCheckMs < untilMs ? std::min(request.spec.expiresMs, untilMs) : request.spec.expiresMs;
 }
 
-void Scheduler::Impl::scheduleCheck(Request& r, double ms) {
-    requestChecks_.erase({r.nextCheckMs, r.spec.id});
-    requestChecks_.emplace(r.nextCheckMs = ms, r.spec.id);
+void Scheduler::Impl::scheduleCheck(Request& request, double checkMs) {
+    requestChecks_.erase({request.nextCheckMs, request.spec.id});
+    requestChecks_.emplace(request.nextCheckMs = checkMs, request.spec.id);
 }
 
 void Scheduler::Impl::sweep() {
     while (!requestChecks_.empty() && requestChecks_.begin()->first - settings_.tickMs <= now_) {
-        Request& r = requests_.at(requestChecks_.begin()->second);
+        Request& request = requests_.at(requestChecks_.begin()->second);
         // A request that waits for its key's turn may still get it, except during a shutdown.
-        const bool mayWait = r.attemptsStarted > 0 || isOrdered(r);
-        const bool mayBegin = r.attemptsInFlight > 0 || r.nextCheckMs < attemptUntilMs(r);
-        const bool over = !mayWait || !mayBegin || r.nextCheckMs >= r.spec.expiresMs;
-        over ? refuseOrFail(RequestId(r.spec.id), expired) : scheduleCheck(r, nextCheckMs(r));
+        const bool mayWait = request.attemptsStarted > 0 || isOrdered(request);
+        const bool mayStart = request.attemptsInFlight > 0 || request.nextCheckMs < attemptUntilMs(request);
+        const bool giveUp = !mayWait || !mayStart || request.nextCheckMs >= request.spec.expiresMs;
+        giveUp ? refuseOrFail(RequestId(request.spec.id), expired)
+               : scheduleCheck(request, nextCheckMs(request));
     }
     if (settings_.nodeListOnRequest && now_ >= subscribeDueMs_) {
         actions_.push_back(SubscribeToNodeList{});
@@ -85,33 +89,35 @@
 }
 
 void Scheduler::Impl::processActiveCells() {
-    for (const CellId cell : std::vector<CellId>(fleet_.cellsWithWork.begin(), fleet_.cellsWithWork.end())) {
-        Cell& c = fleet_.cellForUpdate(cell);
-        Node* n = servingNode(c);
-        if (n != nullptr) {
-            if (observesOverload(*n))
-                n->overloadMsThisRound += std::min(now_ - n->lastSweepMs, 2 * kSweepIntervalMs);
-            n->lastSweepMs = now_;
-            detectSilence(*n);
-            shedQueue(c, *n);
-            sendQueued(cell);
+    for (const CellId cellId :
+         std::vector<CellId>(fleet_.cellsWithWork.begin(), fleet_.cellsWithWork.end())) {
+        Cell& cell = fleet_.cellForUpdate(cellId);
+        Node* node = servingNode(cell);
+        if (node != nullptr) {
+            if (observesOverload(*node))
+                node->overloadMsThisRound += std::min(now_ - node->lastSweepMs, 2 * kSweepIntervalMs);
+            node->lastSweepMs = now_;
+            detectSilence(*node);
+            shedQueue(cell, *node);
+            sendQueued(cellId);
         } else {
-            if (cell < 0) rerouteQueue(c);
-            while (!c.queue.empty() && c.queue.begin()->first <= now_)
-                refuseOrFail(RequestId(c.queue.begin()->second), silentNode);
+            if (cellId < 0) rerouteQueue(cell);
+            while (!cell.queue.empty() && cell.queue.begin()->first <= now_)
+                refuseOrFail(RequestId(cell.queue.begin()->second), silentNode);
         }
-        if (c.queue.empty() && (n == nullptr || n->attemptsInFlight == 0)) fleet_.cellsWithWork.erase(cell);
+        if (cell.queue.empty() && (node == nullptr || node->attemptsInFlight == 0))
+            fleet_.cellsWithWork.erase(cellId);
     }
 }
 
 void Scheduler::Impl::armTimer() {
-    double next = roundStartMs_ + kRoundMs;
-    if (!requestChecks_.empty()) next = std::min(next, requestChecks_.begin()->first - settings_.tickMs);
-    if (!requests_.empty() || !attempts_.empty()) next = std::min(next, lastSweepMs_ + kSweepIntervalMs);
-    next = std::max(std::min({next, subscribeDueMs_, bidSumsDueMs_}), now_ + settings_.tickMs / 2);
-    if (timerDueMs_ > now_ && timerDueMs_ <= next) return;
-    timerDueMs_ = next;
-    actions_.push_back(SetTimer{next - now_, 1});
+    double nextMs = roundStartMs_ + kRoundMs;
+    if (!requestChecks_.empty()) nextMs = std::min(nextMs, requestChecks_.begin()->first - settings_.tickMs);
+    if (!requests_.empty() || !attempts_.empty()) nextMs = std::min(nextMs, lastSweepMs_ + kSweepIntervalMs);
+    nextMs = std::max(std::min({nextMs, subscribeDueMs_, bidSumsDueMs_}), now_ + settings_.tickMs / 2);
+    if (timerDueMs_ > now_ && timerDueMs_ <= nextMs) return;
+    timerDueMs_ = nextMs;
+    actions_.push_back(SetTimer{nextMs - now_, 1});
 }
 
 Scheduler::Scheduler(Settings settings, std::uint64_t seed, double nowMs)
--- a/src/limedrum/shared_budgets.cpp
+++ b/src/limedrum/shared_budgets.cpp
@@ -3,48 +3,53 @@
 
 namespace limedrum {
 
-double Scheduler::Impl::coldSinceMs(const Node& n) const {
-    return n.suspectedRestartMs > 0 && now_ - n.suspectedRestartMs < kNodeListLagMs ? n.suspectedRestartMs
-                                                                                    : n.bootMs;
+double Scheduler::Impl::coldSinceMs(const Node& node) const {
+    return node.suspectedRestartMs > 0 && now_ - node.suspectedRestartMs < kNodeListLagMs
+               ? node.suspectedRestartMs
+               : node.bootMs;
 }
 
-std::optional<Budget> Scheduler::Impl::coldBudget(double since) const {
+std::optional<Budget> Scheduler::Impl::coldBudget(double sinceMs) const {
     const RuleSettings& rules = settings_.rules;
-    const double age = now_ - since;
-    if (since <= 0 || age >= rules.warmWithinMs + rules.fallMs / 2 || rules.fallMs <= 0) return std::nullopt;
-    const double steep = 1 / std::clamp(rules.coldShare, 0.01, 1.0) - 1;
-    const double grown = std::max(0.0, age - rules.fallMs / 2) / std::max(rules.warmWithinMs, 1.0);
-    const double units = settings_.coldUnits * (1 + steep * grown);
+    const double ageMs = now_ - sinceMs;
+    if (sinceMs <= 0 || ageMs >= rules.warmWithinMs + rules.fallMs / 2 || rules.fallMs <= 0)
+        return std::nullopt;
+    const double maxGrowth = 1 / std::clamp(rules.coldShare, 0.01, 1.0) - 1;
+    const double warmedFraction = std::max(0.0, ageMs - rules.fallMs / 2) / std::max(rules.warmWithinMs, 1.0);
+    const double units = settings_.coldUnits * (1 + maxGrowth * warmedFraction);
     return Budget{units, rules.fallMs, false};
 }
 
 std::optional<Budget> Scheduler::Impl::limitBudget(int plan) const {
-    const PlanSettings& p = planOf(plan);
-    if (p.limit <= 0) return std::nullopt;
-    return Budget{p.limitDepth, std::max(p.limitDepth / p.limit * 1000, settings_.tickMs), true};
+    const PlanSettings& planSettings = planOf(plan);
+    if (planSettings.limit <= 0) return std::nullopt;
+    return Budget{planSettings.limitDepth,
+                  std::max(planSettings.limitDepth / planSettings.limit * 1000, settings_.tickMs), true};
 }
 
-bool Scheduler::Impl::ensureBudget(Request& r, BudgetId id, const std::optional<Budget>& b, int hosts,
-                                   double figure) {
-    if (!b) return true;
-    BudgetShare& s = budgetShares_[id];
-    const double part = localBudgetFraction(id) / std::max(hosts, 1);
-    s.granted.dropBefore(now_ - kGrantLifetimeMs);
-    const auto enough = [&] {
-        return availableUnits(s.evenPart, *b, part, startMs_) + s.granted.totalUnits >= r.spec.units;
+bool Scheduler::Impl::ensureBudget(Request& request, BudgetId id, const std::optional<Budget>& budget,
+                                   int hosts, double bootMsOrPlanNo) {
+    if (!budget) return true;
+    BudgetShare& share = budgetShares_[id];
+    const double partFraction = localBudgetFraction(id) / std::max(hosts, 1);
+    share.granted.dropBefore(now_ - kGrantLifetimeMs);
+    const auto isCovered = [&] {
+        return availableUnits(share.evenPart, *budget, partFraction, startMs_) + share.granted.totalUnits >=
+               request.spec.units;
     };
-    if (enough()) return true;
-    if (r.blockingBudget != id) r.grantRequestCount = 0;
-    r.blockingBudget = id;
-    const bool waits = r.grantRequestCount > 0 && now_ - r.lastGrantRequestMs < kGrantLifetimeMs &&
-                       s.lastDeniedMs[r.grantRequestCount % kBudgetCoordinators] < r.lastGrantRequestMs;
-    r.deniedByAllCoordinators = !waits && r.grantRequestCount >= kBudgetCoordinators;
-    if (!settings_.mayMessagePeers || waits || r.deniedByAllCoordinators) return false;
-    r.lastGrantRequestMs = now_;
-    const int half = ++r.grantRequestCount % kBudgetCoordinators;
-    sendBudgetMessage(budgetCoordinator(id, half),
-                      {BudgetMessage::ask, id, half, figure, r.spec.units, now_});
-    return enough();  // this host may be the coordinator and have granted the units
+    if (isCovered()) return true;
+    if (request.blockingBudget != id) request.grantRequestCount = 0;
+    request.blockingBudget = id;
+    const bool grantPending =
+        request.grantRequestCount > 0 && now_ - request.lastGrantRequestMs < kGrantLifetimeMs &&
+        share.lastDeniedMs[request.grantRequestCount % kBudgetCoordinators] < request.lastGrantRequestMs;
+    request.deniedByAllCoordinators = !grantPending && request.grantRequestCount >= kBudgetCoordinators;
+    if (!settings_.mayMessagePeers || grantPending || request.deniedByAllCoordinators) return false;
+    request.lastGrantRequestMs = now_;
+    const int coordinatorIndex = ++request.grantRequestCount % kBudgetCoordinators;
+    sendBudgetMessage(budgetCoordinator(id, coordinatorIndex),
+                      {BudgetMessage::ask, id, coordinatorIndex, bootMsOrPlanNo, request.spec.units, now_});
+    return isCovered();  // this host may be the coordinator and have granted the units
 }
 
 double Scheduler::Impl::localBudgetFraction(BudgetId id) const {
@@ -55,57 +60,61 @@
                : kLocalBudgetFraction;
 }
 
-double Scheduler::Impl::availableUnits(BudgetPart& ledger, const Budget& b, double part,
-                                       double bornMs) const {
-    const double freshUntilMs =
-        bornMs < startMs_ ? 0 : startMs_ + b.windowMs + kGrantLifetimeMs + settings_.tickMs;
-    if (!b.isTokenBucket && now_ < freshUntilMs) return 0;
-    return ledger.availableUnits(now_, b, part, budgetFillStartMs_, kGrantLifetimeMs + settings_.tickMs);
+double Scheduler::Impl::availableUnits(BudgetPart& ledger, const Budget& budget, double fraction,
+                                       double ledgerStartMs) const {
+    const double unusableUntilMs =
+        ledgerStartMs < startMs_ ? 0 : startMs_ + budget.windowMs + kGrantLifetimeMs + settings_.tickMs;
+    if (!budget.isTokenBucket && now_ < unusableUntilMs) return 0;
+    return ledger.availableUnits(now_, budget, fraction, budgetFillStartMs_,
+                                 kGrantLifetimeMs + settings_.tickMs);
 }
 
-void Scheduler::Impl::consumeBudget(BudgetId id, const std::optional<Budget>& b, double units) {
-    if (!b) return;
-    BudgetShare& s = budgetShares_[id];
-    s.evenPart.consume(now_, units - s.granted.takeOldest(units));
+void Scheduler::Impl::consumeBudget(BudgetId id, const std::optional<Budget>& budget, double units) {
+    if (!budget) return;
+    BudgetShare& share = budgetShares_[id];
+    share.evenPart.consume(now_, units - share.granted.takeOldest(units));
 }
 
-int Scheduler::Impl::budgetCoordinator(BudgetId id, int part) const {
-    return Random(id.second * 0x10001 + static_cast<std::uint64_t>(part) * 2 + (id.first == 'v'))
+int Scheduler::Impl::budgetCoordinator(BudgetId id, int coordinatorIndex) const {
+    return Random(id.second * 0x10001 + static_cast<std::uint64_t>(coordinatorIndex) * 2 + (id.first == 'v'))
         .uniformInt(settings_.hosts);
 }
 
-void Scheduler::Impl::sendBudgetMessage(int to, const BudgetMessage& m) {
-    if (to == settings_.self) return on(to, m);
-    actions_.push_back(SendPeerMessage{to, writeBudgetMessage(m)});
+void Scheduler::Impl::sendBudgetMessage(int to, const BudgetMessage& message) {
+    if (to == settings_.self) return on(to, message);
+    actions_.push_back(SendPeerMessage{to, writeBudgetMessage(message)});
 }
 
-void Scheduler::Impl::on(int sender, const BudgetMessage& m) {
-    const bool cold = m.id.first == 'n';
-    if (m.units > kMaxPlausibleUnits || m.coordinatorIndex < 0 || m.coordinatorIndex >= kBudgetCoordinators)
+void Scheduler::Impl::on(int sender, const BudgetMessage& message) {
+    const bool isColdNode = message.id.first == 'n';
+    if (message.units > kMaxPlausibleUnits || message.coordinatorIndex < 0 ||
+        message.coordinatorIndex >= kBudgetCoordinators)
         return;
-    const auto n = fleet_.nodes.find(static_cast<NodeId>(m.id.second));
-    if (cold ? n == fleet_.nodes.end() || m.bootMsOrPlanNo > now_ + kRoundMs
-             : m.bootMsOrPlanNo >= static_cast<double>(settings_.plans.size()))
+    const auto nodeIt = fleet_.nodes.find(static_cast<NodeId>(message.id.second));
+    if (isColdNode ? nodeIt == fleet_.nodes.end() || message.bootMsOrPlanNo > now_ + kRoundMs
+                   : message.bootMsOrPlanNo >= static_cast<double>(settings_.plans.size()))
         return;
     // Of two start times, the later one gives the smaller budget.
-    const auto b = cold ? coldBudget(std::max(m.bootMsOrPlanNo, coldSinceMs(n->second)))
-                        : limitBudget(static_cast<int>(m.bootMsOrPlanNo));
-    if (!b) return;
-    if (m.kind == BudgetMessage::grant) {
-        const auto s = budgetShares_.find(m.id);
-        if (s == budgetShares_.end() || m.askerClockMs > now_ ||
-            budgetCoordinator(m.id, m.coordinatorIndex) != sender)
+    const auto budget = isColdNode ? coldBudget(std::max(message.bootMsOrPlanNo, coldSinceMs(nodeIt->second)))
+                                   : limitBudget(static_cast<int>(message.bootMsOrPlanNo));
+    if (!budget) return;
+    if (message.kind == BudgetMessage::grant) {
+        const auto shareIt = budgetShares_.find(message.id);
+        if (shareIt == budgetShares_.end() || message.askerClockMs > now_ ||
+            budgetCoordinator(message.id, message.coordinatorIndex) != sender)
             return;
-        s->second.granted.add(m.askerClockMs, m.units);
-        if (m.units <= 0) s->second.lastDeniedMs[m.coordinatorIndex] = now_;
-    } else if (budgetCoordinator(m.id, m.coordinatorIndex) == settings_.self) {
-        BudgetPart& ledger = coordinatorBudgets_[m.id].parts[m.coordinatorIndex];
-        const double bornMs = cold && n->second.bootMs > startMs_ ? -kNever : startMs_;
-        const bool fits = availableUnits(ledger, *b, (1 - localBudgetFraction(m.id)) / kBudgetCoordinators,
-                                         bornMs) >= m.units;
-        if (fits) ledger.consume(now_, m.units);
-        sendBudgetMessage(sender, {BudgetMessage::grant, m.id, m.coordinatorIndex, m.bootMsOrPlanNo,
-                                   fits ? m.units : 0, m.askerClockMs});
+        shareIt->second.granted.add(message.askerClockMs, message.units);
+        if (message.units <= 0) shareIt->second.lastDeniedMs[message.coordinatorIndex] = now_;
+    } else if (budgetCoordinator(message.id, message.coordinatorIndex) == settings_.self) {
+        BudgetPart& ledger = coordinatorBudgets_[message.id].parts[message.coordinatorIndex];
+        const double ledgerStartMs = isColdNode && nodeIt->second.bootMs > startMs_ ? -kNever : startMs_;
+        const bool covered =
+            availableUnits(ledger, *budget, (1 - localBudgetFraction(message.id)) / kBudgetCoordinators,
+                           ledgerStartMs) >= message.units;
+        if (covered) ledger.consume(now_, message.units);
+        sendBudgetMessage(sender,
+                          {BudgetMessage::grant, message.id, message.coordinatorIndex, message.bootMsOrPlanNo,
+                           covered ? message.units : 0, message.askerClockMs});
     }
 }
 
--- a/src/limedrum/shutdown.cpp
+++ b/src/limedrum/shutdown.cpp
@@ -7,18 +7,20 @@
     shutdown_.firstAttemptUntilMs = std::min(shutdown_.firstAttemptUntilMs, event.firstAttemptUntilMs);
     shutdown_.furtherAttemptUntilMs = std::min(shutdown_.furtherAttemptUntilMs, event.furtherAttemptUntilMs);
     shutdown_.answerByMs = std::min(shutdown_.answerByMs, event.answerByMs);
-    for (auto& [id, r] : requests_) applyShutdownLimits(r);
+    for (auto& [id, request] : requests_) applyShutdownLimits(request);
 }
 
-void Scheduler::Impl::applyShutdownLimits(Request& r) {
-    r.spec.expiresMs = std::min(r.spec.expiresMs, shutdown_.answerByMs);
-    if (r.dueMs > r.spec.expiresMs) {
-        const bool queued = r.queued;
-        if (queued) fleet_.dequeue(r);  // the queue is ordered by due time
-        r.dueMs = r.spec.expiresMs;
-        if (queued) fleet_.enqueue(r);
+void Scheduler::Impl::applyShutdownLimits(Request& request) {
+    request.spec.expiresMs = std::min(request.spec.expiresMs, shutdown_.answerByMs);
+    if (request.dueMs > request.spec.expiresMs) {
+        const bool wasQueued = request.queued;
+        if (wasQueued) fleet_.dequeue(request);  // the queue is ordered by due time
+        request.dueMs = request.spec.expiresMs;
+        if (wasQueued) fleet_.enqueue(request);
     }
-    if (!r.streaming) scheduleCheck(r, std::min({r.nextCheckMs, r.spec.expiresMs, attemptUntilMs(r)}));
+    if (!request.streaming)
+        scheduleCheck(request,
+                      std::min({request.nextCheckMs, request.spec.expiresMs, attemptUntilMs(request)}));
 }
 
 }  // namespace limedrum
