--- a/tests/limedrum/decide_test.cpp
+++ b/tests/limedrum/decide_test.cpp
@@ -1,4 +1,4 @@
-// Decisions and the dispatcher without any wire: what service days showed that calm ones had not.
+// Regression tests of the scheduler and the dispatcher, without connections.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -9,49 +9,49 @@
 using namespace limedrum;
 using namespace limedrum::testing;
 
-// Guards against one hostile client that names a huge deadline: all others of its class then looked like
-// clients' repeats whose aim has passed, and were thinned first.
-TEST_CASE("a deadline beyond the class's own does not make the others late") {
+// Guards against a hostile client that states a huge deadline. All other requests of its class then looked
+// like client retries whose aim has passed, and were thinned first.
+TEST_CASE("a deadline beyond the class's limit does not mark other requests as late") {
     Driver d(plainSettings());
-    d.give(0, request("liar", 3'600'000, 1));
-    d.give(10, request("honest", 1010, 1));
+    d.give(0, request("hostile", 3'600'000, 1));
+    d.give(10, request("normal", 1010, 1));
     d.pass(2100, 10);
-    bool bid = false;
-    for (const Action& a : d.all) {
-        const auto* tell = std::get_if<SendPeerMessage>(&a);
-        if (tell == nullptr) continue;
-        bid = true;
-        CHECK_MESSAGE(tell->text.find(":40:") != std::string::npos,
-                      tell->text);  // both are bid for, in tenths
+    bool bidSent = false;
+    for (const Action& action : d.all) {
+        const auto* message = std::get_if<SendPeerMessage>(&action);
+        if (message == nullptr) continue;
+        bidSent = true;
+        // The bid covers both requests: 4 units, in tenths.
+        CHECK_MESSAGE(message->text.find(":40:") != std::string::npos, message->text);
     }
-    CHECK(bid);
-    CHECK(d.answers("liar") == 1);  // and it is not held for an hour
+    CHECK(bidSent);
+    CHECK(d.answers("hostile") == 1);  // it does not stay queued for an hour
 }
 
-// Guards against a client that names more hosts than there are, which took the volume's part from all others.
-TEST_CASE("a volume has no more hosts than the tier") {
+// Guards against a client that states more hosts than there are. That shrank this host's part of the volume's
+// budget for all of the volume's requests.
+TEST_CASE("a volume's host count is limited to the number of hosts") {
     Settings s = plainSettings();
     s.hosts = 1;
     s.mayMessagePeers = false;
     s.plans[0] = {.rate = 10, .limit = 100, .limitDepth = 40};
     Driver d(s);
-    RequestEvent liar = request("liar", 2000, 0);
-    liar.hostsOfVolume = 1'000'000'000;
+    RequestEvent hostile = request("hostile", 2000, 0);
+    hostile.hostsOfVolume = 1'000'000'000;
     d.pass(1500);
-    d.give(1500, liar);
-    CHECK(d.sends("liar") == 1);
+    d.give(1500, hostile);
+    CHECK(d.sends("hostile") == 1);
 }
 
-// Guards against refusals that send clients away for longer than their aim: what came back was late by its
-// wait alone.
-TEST_CASE("a refusal says to come back soon, and of a node that answers nothing as late as allowed") {
+// Guards against a retry-after longer than the aim, which made every retry late by its wait alone.
+TEST_CASE("a refusal advises an early retry, and the longest permitted delay if the node is silent") {
     Settings s = plainSettings();
     s.maxRetryAfterMs = 1000;
     Driver d(s);
     saturate(d, 0, 8000);
     int refusals = 0;
-    for (const Action& a : d.all) {
-        const auto* refuse = std::get_if<RefuseRequest>(&a);
+    for (const Action& action : d.all) {
+        const auto* refuse = std::get_if<RefuseRequest>(&action);
         if (refuse == nullptr) continue;
         ++refusals;
         CHECK(refuse->retryAfterMs > 0);
@@ -60,38 +60,39 @@
     CHECK(refusals > 20);
     Driver silent(s);
     for (int i = 0; i < 3; ++i) {
-        RequestEvent r = request("s" + std::to_string(i), 1000, 0);
-        r.units = 1;
-        silent.give(i, r);
+        RequestEvent event = request("s" + std::to_string(i), 1000, 0);
+        event.units = 1;
+        silent.give(i, event);
     }
     silent.pass(990);
-    const auto did = silent.give(991, request("later", 1991, 0));
-    REQUIRE(Driver::count<RefuseRequest>(did, "later") == 1);
-    CHECK(std::get<RefuseRequest>(did.front()).retryAfterMs == 1000);
+    const auto actions = silent.give(991, request("later", 1991, 0));
+    REQUIRE(Driver::count<RefuseRequest>(actions, "later") == 1);
+    CHECK(std::get<RefuseRequest>(actions.front()).retryAfterMs == 1000);
 }
 
-// Guards against thinning a volume's most precious requests like its cheapest.
-TEST_CASE("within a volume what earns least a unit is thinned first") {
+// Guards against thinning all requests of a volume alike, whatever their worth.
+TEST_CASE("within a volume, requests of the least worth per unit are thinned first") {
     Settings s = plainSettings();
     s.classes.push_back({.aimMs = 200, .deadlineMs = 1000, .worth = 1});
     s.hosts = 1;
     Driver d(s);
     saturate(d, 0, 8000, 10, 2);
-    const auto [dear, cheap] = saturate(d, 8000, 12000, 5, 2);
-    CHECK(dear + cheap < 700);  // of 800
-    CHECK(dear > 1.2 * cheap);
+    const auto [valuable, cheap] = saturate(d, 8000, 12000, 5, 2);
+    CHECK(valuable + cheap < 700);  // of 800
+    CHECK(valuable > 1.2 * cheap);
 }
 
-// Guards against holding what nobody could send until its client has given up: it costs the client its time.
-TEST_CASE("without an attempt a request is given up before half of its time has passed") {
+// Guards against keeping requests that cannot be sent until their clients give up; a client that is refused
+// early has time to retry.
+TEST_CASE("a request without an attempt is given up before half of its time has passed") {
     Settings s = plainSettings();
     s.rules.coldShare = 0.25;
     s.rules.warmWithinMs = 10000;
     s.rules.fallMs = 1000;
-    s.coldUnits = 1;  // of which this host's part covers nothing
+    s.coldUnits = 1;  // less than one request
     Driver d(s);
     d.give(0, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 1}}});
-    RequestEvent late = request("late", 400, 0);  // a client's repeat: it is due at its end
+    RequestEvent late = request("late", 400, 0);  // a client's retry, due at its expiry
     d.give(0, request("first", 1000, 0));
     d.give(1, late);
     d.pass(200);
@@ -101,8 +102,8 @@
     CHECK(d.sends() == 0);
 }
 
-// Guards against growing memory over a long day on which nodes are replaced by new ones with new ids.
-TEST_CASE("the dispatcher forgets nodes that have left") {
+// Guards against memory that grows as nodes are replaced by new ones with new ids.
+TEST_CASE("the dispatcher removes nodes that have left") {
     using namespace martencove;
     Limits limits;
     Counters counters;
@@ -111,10 +112,10 @@
     Dispatcher dispatcher(facade, clock, limits, counters,
                           {[](double) {}, [](const PeerMessage&) {}, [](const std::string&) {}}, {});
     const auto entry = [](int i, martencove::NodeState state) {
-        martencove::NodeEntry e;
-        e.id = static_cast<martencove::NodeId>(i);
-        e.state = state;
-        return e;
+        martencove::NodeEntry nodeEntry;
+        nodeEntry.id = static_cast<martencove::NodeId>(i);
+        nodeEntry.state = state;
+        return nodeEntry;
     };
     for (int i = 1; i <= 500; ++i)
         dispatcher.updateNodes(
--- a/tests/limedrum/driver.h
+++ b/tests/limedrum/driver.h
@@ -1,4 +1,4 @@
-// Drives one Scheduler by events and keeps what it did. No bench, no clock.
+// Test driver for one Scheduler: passes events to it with explicit times and records the resulting actions.
 #pragma once
 
 #include <limedrum/scheduler.h>
@@ -9,6 +9,7 @@
 
 namespace limedrum::testing {
 
+/// Settings with one class, one plan and four hosts; all rules that are not set are off.
 inline Settings plainSettings() {
     Settings s;
     s.classes.push_back({.aimMs = 200, .deadlineMs = 1000, .worth = 2, .lateWorth = 0.2});
@@ -23,24 +24,27 @@
     return s;
 }
 
-inline RequestEvent request(const RequestId& id, double expiresMs, int cell = 0) {
-    RequestEvent r;
-    r.id = id;
-    r.volume = "v";
-    r.expiresMs = expiresMs;
-    r.units = 2;
-    r.shard = cell;
-    return r;
+/// Returns a request of 2 units of volume "v".
+inline RequestEvent request(const RequestId& id, double expiresMs, int shard = 0) {
+    RequestEvent event;
+    event.id = id;
+    event.volume = "v";
+    event.expiresMs = expiresMs;
+    event.units = 2;
+    event.shard = shard;
+    return event;
 }
 
 class Driver {
 public:
+    /// Starts the scheduler with nodes 100, 101, ... that serve shards 0, 1, ...
     explicit Driver(const Settings& settings, std::uint64_t seed = 1, double startMs = 0, int nodes = 2)
         : scheduler_(settings, seed, startMs), nowMs(startMs) {
         NodeListEvent list{NodeListKind::restored, {}};
         for (int i = 0; i < nodes; ++i) list.entries.push_back({.node = NodeId(100 + i), .shard = i});
         give(startMs, list);
     }
+    /// Passes one event to the scheduler and returns the resulting actions.
     std::vector<Action> give(double atMs, const Event& event) { return step(atMs, {event}); }
     std::vector<Action> step(double atMs, const std::vector<Event>& events) {
         nowMs = atMs;
@@ -48,33 +52,35 @@
         all.insert(all.end(), last.begin(), last.end());
         return last;
     }
-    /// Lets time pass in small steps, as reminders would.
+    /// Advances the time in small steps with a timer event at each.
     void pass(double untilMs, double stepMs = 2) {
         while (nowMs < untilMs) give(std::min(untilMs, nowMs + stepMs), TimerFiredEvent{1});
     }
-    std::vector<Action> outcome(double atMs, const RequestId& id, int attempt, NodeId node, Outcome what,
-                                double tookMs = 10) {
+    std::vector<Action> outcome(double atMs, const RequestId& id, int attempt, NodeId node, Outcome outcome,
+                                double durationMs = 10) {
         return give(atMs, OutcomeEvent{.id = id,
                                        .attempt = attempt,
                                        .node = node,
-                                       .outcome = what,
-                                       .durationMs = tookMs,
-                                       .requestFinished = what == Outcome::done});
+                                       .outcome = outcome,
+                                       .durationMs = durationMs,
+                                       .requestFinished = outcome == Outcome::done});
     }
-    template <typename A>
+    /// Counts the actions of one type, for one request or all.
+    template <typename ActionType>
     static int count(const std::vector<Action>& actions, const RequestId& id = "") {
-        int n = 0;
+        int matches = 0;
         for (const Action& action : actions) {
-            const A* a = std::get_if<A>(&action);
-            if (a == nullptr) continue;
-            if constexpr (requires { a->id; }) {
-                if (!id.empty() && a->id != id) continue;
+            const ActionType* match = std::get_if<ActionType>(&action);
+            if (match == nullptr) continue;
+            if constexpr (requires { match->id; }) {
+                if (!id.empty() && match->id != id) continue;
             }
-            ++n;
+            ++matches;
         }
-        return n;
+        return matches;
     }
     int sends(const RequestId& id = "") const { return count<SendAttempt>(all, id); }
+    /// Counts the refusals and failures.
     int answers(const RequestId& id = "") const {
         return count<RefuseRequest>(all, id) + count<FailRequest>(all, id);
     }
@@ -91,20 +97,20 @@
     std::vector<Action> all;
 };
 
-/// Full answers put cell 0's node under pressure; answers under it teach its rate. Every other request is of
-/// class 1 where there is one. How many of each class were sent.
-inline std::array<int, 2> saturate(Driver& d, double fromMs, double untilMs, double everyMs = 5,
+/// Overloads the node of shard 0 by slow answers, so that the scheduler learns its rate. With two classes,
+/// the requests alternate between them. Returns how many requests of each class were sent.
+inline std::array<int, 2> saturate(Driver& driver, double fromMs, double untilMs, double intervalMs = 5,
                                    int classes = 1) {
     std::array<int, 2> sent{};
     int i = 0;
-    for (double t = fromMs; t < untilMs; t += everyMs, ++i) {
-        RequestEvent r = request(std::to_string(t), t + 1000, 0);
-        r.classNo = i % classes;
-        for (const Action& a : d.give(t, r)) {
-            const auto* send = std::get_if<SendAttempt>(&a);
+    for (double timeMs = fromMs; timeMs < untilMs; timeMs += intervalMs, ++i) {
+        RequestEvent event = request(std::to_string(timeMs), timeMs + 1000, 0);
+        event.classNo = i % classes;
+        for (const Action& action : driver.give(timeMs, event)) {
+            const auto* send = std::get_if<SendAttempt>(&action);
             if (send == nullptr) continue;
-            ++sent[r.classNo];
-            d.outcome(t, send->id, 0, 100, Outcome::done, i % 4 < 2 ? 10 : 700);
+            ++sent[event.classNo];
+            driver.outcome(timeMs, send->id, 0, 100, Outcome::done, i % 4 < 2 ? 10 : 700);
         }
     }
     return sent;
--- a/tests/limedrum/scheduler_test.cpp
+++ b/tests/limedrum/scheduler_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the scheduler's rules and mechanisms through its public interface.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,12 +11,12 @@
 namespace limedrum::testing {
 namespace {
 
-// ---- Rule 1: one final answer in time, nothing after it ----
+// ---- Rule 1: each request gets one final answer in time, and no attempt after it ----
 
-TEST(NoRequestLost, HeldAndUnansweredAreAnsweredBeforeTheirOwnExpiry) {
+TEST(NoRequestLost, QueuedAndUnansweredRequestsAreAnsweredBeforeTheirExpiry) {
     Driver d(plainSettings());
     d.give(0, request("out", 300));
-    d.give(0, request("noNode", 250, 7));  // a cell that no node holds
+    d.give(0, request("noNode", 250, 7));  // no node holds this shard
     d.pass(305);
     EXPECT_EQ(d.answers("out"), 1);
     EXPECT_EQ(d.answers("noNode"), 1);
@@ -25,7 +26,7 @@
     EXPECT_EQ(d.answers(), 2);
 }
 
-TEST(NoRequestLost, AnAnswerEndsItAndAJumpOfTheClockIsSurvived) {
+TEST(NoRequestLost, NoAnswerFollowsAResultAndAClockJumpExpiresRequests) {
     Driver d(plainSettings());
     d.give(0, request("a", 1000));
     d.outcome(20, "a", 0, 100, Outcome::done);
@@ -36,7 +37,7 @@
     EXPECT_EQ(d.sends(), 2);
 }
 
-TEST(NoRequestLost, AStartedStreamHasNoDeadline) {
+TEST(NoRequestLost, StartedStreamHasNoDeadline) {
     Settings s = plainSettings();
     s.classes[0].stream = true;
     Driver d(s);
@@ -46,12 +47,12 @@
     EXPECT_EQ(d.answers("a"), 0);
 }
 
-// ---- Rule 2: effects ----
+// ---- Rule 2: no request takes effect twice ----
 
-TEST(Effects, UnsafeIsNeitherRepeatedNorRefusedOnceItMayHaveRun) {
+TEST(Effects, NonIdempotentRequestThatMayHaveRunIsNeitherRepeatedNorRefused) {
     Settings s = plainSettings();
     s.classes[0].idempotency = Idempotency::nonIdempotent;
-    s.classes[0].repeatWindowMs = 900;  // means nothing for this class
+    s.classes[0].repeatWindowMs = 900;  // ignored for this class
     Driver d(s);
     d.give(0, request("a", 1000));
     d.outcome(10, "a", 0, 100, Outcome::reset);
@@ -61,7 +62,7 @@
     EXPECT_EQ(Driver::count<RefuseRequest>(d.all, "a"), 0);
 }
 
-TEST(Effects, UnsafeIsTriedAgainWhenProvedNotToHaveRun) {
+TEST(Effects, NonIdempotentRequestThatDidNotRunIsRetried) {
     Settings s = plainSettings();
     s.classes[0].idempotency = Idempotency::nonIdempotent;
     Driver d(s);
@@ -71,7 +72,7 @@
     EXPECT_EQ(d.sends("a"), 2);
 }
 
-TEST(Effects, KeyedIsRepeatedOnlyInsideItsWindowAndNotRefusedAfter) {
+TEST(Effects, DeduplicatedRequestIsRepeatedOnlyInsideItsWindowAndNotRefusedAfter) {
     Settings s = plainSettings();
     s.classes[0].idempotency = Idempotency::deduplicated;
     s.classes[0].dedupScope = DedupScope::shard;
@@ -90,28 +91,28 @@
     EXPECT_EQ(Driver::count<RefuseRequest>(d.all, "late"), 0);
 }
 
-// Guards against a copy that is decided in time and reaches its node when that has forgotten the first one:
-// what it waits for on its way (a connection, a turn of the loop) has to fit in too.
-TEST(Effects, KeyedRepeatSaysByWhenItsLastByteHasToBeOut) {
+// Guards against a repeat that is decided in time but reaches the node after it has forgotten the first
+// attempt. Waits for a connection or for the event loop count too.
+TEST(Effects, DeduplicatedRepeatStatesWhenItsLastByteMustBeSent) {
     Settings s = plainSettings();
     s.classes[0].idempotency = Idempotency::deduplicated;
     s.classes[0].repeatWindowMs = 400;
     s.tickMs = 5;
     Driver d(s);
-    const auto sent = [&] {
-        for (const Action& a : d.last)
-            if (const auto* send = std::get_if<SendAttempt>(&a)) return *send;
+    const auto lastSent = [&] {
+        for (const Action& action : d.last)
+            if (const auto* send = std::get_if<SendAttempt>(&action)) return *send;
         return SendAttempt{};
     };
     d.give(100, request("a", 1100));
-    EXPECT_TRUE(std::isinf(sent().lastByteWithinMs));
+    EXPECT_TRUE(std::isinf(lastSent().lastByteWithinMs));
     d.outcome(110, "a", 0, 100, Outcome::reset);
     while (d.sends("a") < 2 && d.nowMs < 490) d.give(d.nowMs + 2, TimerFiredEvent{1});
     ASSERT_EQ(d.sends("a"), 2);
-    EXPECT_DOUBLE_EQ(d.nowMs + sent().lastByteWithinMs, 100 + 400 - 2 * 5);
+    EXPECT_DOUBLE_EQ(d.nowMs + lastSent().lastByteWithinMs, 100 + 400 - 2 * 5);
 }
 
-TEST(Effects, KeyedNewObjectStaysInItsCellOnceItMayHaveRun) {
+TEST(Effects, DeduplicatedNewObjectStaysInItsCellOnceItMayHaveRun) {
     Settings s = plainSettings();
     s.classes[0].idempotency = Idempotency::deduplicated;
     s.classes[0].dedupScope = DedupScope::shard;
@@ -119,19 +120,19 @@
     Driver d(s);
     const auto first = d.give(0, request("a", 1000, -1));
     const auto sent =
-        std::find_if(first.begin(), first.end(), [](const Action& a) { return a.index() == 0; });
+        std::find_if(first.begin(), first.end(), [](const Action& action) { return action.index() == 0; });
     ASSERT_NE(sent, first.end());
     const NodeId node = std::get<SendAttempt>(*sent).node;
     d.outcome(10, "a", 0, node, Outcome::error);
     d.pass(200);
-    for (const Action& a : d.all) {
-        const auto* send = std::get_if<SendAttempt>(&a);
+    for (const Action& action : d.all) {
+        const auto* send = std::get_if<SendAttempt>(&action);
         EXPECT_TRUE(send == nullptr || send->node == node);
     }
     EXPECT_EQ(d.sends("a"), 2);
 }
 
-TEST(Effects, NeverMoreAttemptsThanTheCapNorTwoAtOnce) {
+TEST(Effects, AttemptsNeverExceedTheCapNorOverlap) {
     Driver d(plainSettings());
     d.give(0, request("a", 1000));
     for (int i = 0; i < 6; ++i) {
@@ -143,19 +144,19 @@
     EXPECT_EQ(d.answers("a"), 1);
 }
 
-// ---- Rule 3: drains and the list ----
+// ---- Rule 3: draining nodes and the node list ----
 
-TEST(Drains, NothingGoesToANodeThatDrainsIsGoneOrLeftOut) {
+TEST(Drains, DrainingGoneAndUnlistedNodesGetNoAttempts) {
     for (const auto& [kind, state] : {std::pair{NodeListKind::update, NodeState::draining},
                                       std::pair{NodeListKind::update, NodeState::gone},
                                       std::pair{NodeListKind::full, NodeState::serving}}) {
         Driver d(plainSettings());
-        NodeListEvent news{kind, {}};
+        NodeListEvent event{kind, {}};
         // The full list leaves node 100 out.
-        news.entries.push_back({.node = NodeId(kind == NodeListKind::full ? 101 : 100),
-                                .shard = kind == NodeListKind::full ? 1 : 0,
-                                .state = state});
-        d.give(10, news);
+        event.entries.push_back({.node = NodeId(kind == NodeListKind::full ? 101 : 100),
+                                 .shard = kind == NodeListKind::full ? 1 : 0,
+                                 .state = state});
+        d.give(10, event);
         d.give(11, request("a", 500, 0));
         d.pass(600);
         EXPECT_EQ(d.sends(), 0);
@@ -163,7 +164,7 @@
     }
 }
 
-TEST(Drains, ASuccessorInTheSameCellTakesWhatWaits) {
+TEST(Drains, SuccessorInTheSameCellGetsQueuedRequests) {
     Driver d(plainSettings());
     d.give(10, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .state = NodeState::gone}}});
     d.give(11, request("a", 500, 0));
@@ -172,7 +173,7 @@
     EXPECT_EQ(d.sends("a"), 1);
 }
 
-TEST(Drains, TheListIsAskedForAtOnceAndAgainAfterFailure) {
+TEST(Drains, NodeListIsRequestedAtOnceAndAgainAfterFailure) {
     Settings s = plainSettings();
     s.nodeListOnRequest = true;
     Driver d(s);
@@ -188,7 +189,7 @@
     EXPECT_EQ(Driver::count<SubscribeToNodeList>(d.all), 3);
 }
 
-TEST(Drains, AnUnansweredSubscriptionIsAskedForAgain) {
+TEST(Drains, UnansweredSubscriptionIsRequestedAgain) {
     Settings s = plainSettings();
     s.nodeListOnRequest = true;
     Driver d(s);
@@ -204,27 +205,27 @@
     s.rules.warmWithinMs = 16000;
     s.rules.overloadFactor = 2;
     s.rules.fallMs = 1000;
-    s.coldUnits = 40;  // 10 for this host, where nobody can be asked for more
+    s.coldUnits = 40;  // of which this host has 10, without peers to grant more
     s.mayMessagePeers = false;
     return s;
 }
 
 double unitsSent(const Driver& d, double unitsEach) { return unitsEach * d.sends(); }
 
-TEST(ColdNodes, NoWindowExceedsThisHostsPartWhateverTheOutcome) {
+TEST(ColdNodes, UnitsPerWindowStayWithinThisHostsPart) {
     Driver d(coldSettings());
     d.pass(1500);
     d.give(1500, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 1400}}});
     for (int i = 0; i < 60; ++i) {
         const RequestId id = "r" + std::to_string(i);
-        const auto did = d.give(1502 + 10 * i, request(id, 2500 + 10 * i, 0));
-        if (Driver::count<SendAttempt>(did, id) > 0) d.outcome(d.nowMs + 1, id, 0, 100, Outcome::done, 1);
+        const auto actions = d.give(1502 + 10 * i, request(id, 2500 + 10 * i, 0));
+        if (Driver::count<SendAttempt>(actions, id) > 0) d.outcome(d.nowMs + 1, id, 0, 100, Outcome::done, 1);
     }
     EXPECT_GE(unitsSent(d, 2), 4);
     EXPECT_LE(unitsSent(d, 2), 10);
 }
 
-TEST(ColdNodes, AFreshHostSendsNothingWithinTheWindowOfItsPastLife) {
+TEST(ColdNodes, RestartedHostSendsNothingWithinTheWindowOfItsPreviousRun) {
     Driver d(coldSettings(), 1, 50000);
     d.give(50001, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 49900}}});
     d.give(50002, request("a", 51000, 0));
@@ -232,7 +233,7 @@
     EXPECT_EQ(d.sends(), 0);
 }
 
-TEST(ColdNodes, BackFromALongSilenceCountsAsColdUntilTheListCouldTell) {
+TEST(ColdNodes, NodeBackFromALongSilenceIsColdUntilTheNodeListCanReportARestart) {
     Driver d(coldSettings());
     d.pass(1500);
     for (const RequestId id : {"stuck1", "stuck2"}) d.give(1500, request(id, 2500, 0));
@@ -246,13 +247,13 @@
     const int before = d.sends();
     for (int i = 0; i < 40; ++i) {
         const RequestId id = "r" + std::to_string(i);
-        const auto did = d.give(9020 + 5 * i, request(id, 10020 + 5 * i, 0));
-        if (Driver::count<SendAttempt>(did, id) > 0) d.outcome(d.nowMs + 1, id, 0, 100, Outcome::done, 1);
+        const auto actions = d.give(9020 + 5 * i, request(id, 10020 + 5 * i, 0));
+        if (Driver::count<SendAttempt>(actions, id) > 0) d.outcome(d.nowMs + 1, id, 0, 100, Outcome::done, 1);
     }
     EXPECT_LE(2 * (d.sends() - before), 10);
 }
 
-// ---- Rule 5 (limits) ----
+// ---- Rule 5: limits of volumes ----
 
 Settings limitSettings() {
     Settings s = plainSettings();
@@ -261,43 +262,43 @@
     return s;
 }
 
-TEST(Limits, AHostDrawsOnlyItsEvenPartAndStartsEmpty) {
+TEST(Limits, HostUsesOnlyItsEvenPartAndStartsWithoutUnits) {
     Driver d(limitSettings());
     d.step(0, {});
     RequestEvent r = request("first", 100, 0);
     r.hostsOfVolume = 4;
     d.give(0, r);
-    EXPECT_EQ(d.sends(), 0);  // a past life may have drawn it all
+    EXPECT_EQ(d.sends(), 0);  // the previous run of this host may have used all units
     for (int i = 0; i < 400; ++i) {
         RequestEvent more = request("r" + std::to_string(i), 10 * i + 300, 0);
         more.hostsOfVolume = 4;
-        const auto did = d.give(10 * i + 10, more);
-        for (const Action& a : did) {
-            if (const auto* send = std::get_if<SendAttempt>(&a))
+        const auto actions = d.give(10 * i + 10, more);
+        for (const Action& action : actions) {
+            if (const auto* send = std::get_if<SendAttempt>(&action))
                 d.outcome(d.nowMs, send->id, 0, 100, Outcome::done, 1);
         }
     }
-    // 2 s without any, since a past life may have drawn; then a quarter of 40 units in two seconds.
+    // No units for 2 s, as the previous run may have used them; then a quarter of 40 units in two seconds.
     EXPECT_GE(unitsSent(d, 2), 8);
     EXPECT_LE(unitsSent(d, 2), 20);
 }
 
-TEST(Limits, AnIdleVolumeGathersNoMoreThanItsPartOfTheDepth) {
+TEST(Limits, IdleVolumeAccumulatesNoMoreThanItsPartOfTheDepth) {
     Driver d(limitSettings());
     d.pass(20000, 50);
     for (int i = 0; i < 30; ++i) {
         RequestEvent r = request("r" + std::to_string(i), 20500, 0);
         r.hostsOfVolume = 4;
-        const auto did = d.give(20000, r);
-        for (const Action& a : did) {
-            if (const auto* send = std::get_if<SendAttempt>(&a))
+        const auto actions = d.give(20000, r);
+        for (const Action& action : actions) {
+            if (const auto* send = std::get_if<SendAttempt>(&action))
                 d.outcome(20000, send->id, 0, 100, Outcome::done, 1);
         }
     }
     EXPECT_EQ(unitsSent(d, 2), 10);
 }
 
-// ---- Rule 6 (order) ----
+// ---- Rule 6: order of requests with the same key ----
 
 Settings orderSettings() {
     Settings s = plainSettings();
@@ -312,20 +313,20 @@
     return r;
 }
 
-TEST(Order, OneAtATimeInTheOrderTaken) {
+TEST(Order, OneAtATimeInOrderOfArrival) {
     Driver d(orderSettings());
     d.give(0, keyed("a", 900));
-    d.give(1, keyed("b", 500));  // due earlier, taken later
+    d.give(1, keyed("b", 500));  // due earlier, arrived later
     EXPECT_EQ(d.sends("b"), 0);
     d.outcome(20, "a", 0, 100, Outcome::done);
     EXPECT_EQ(d.sends("b"), 1);
 }
 
-TEST(Order, TheKeyRestsAfterAnUnknownOutcomeAlsoPastTheFinalAnswer) {
+TEST(Order, KeyPausesAfterAnUnknownOutcomeEvenPastTheFinalAnswer) {
     Driver d(orderSettings());
     d.give(0, keyed("a", 300));
     d.give(1, keyed("b", 1000));
-    d.pass(350);  // "a" has been answered; its attempt is still out
+    d.pass(350);  // "a" has been answered; its attempt is still in flight
     EXPECT_EQ(d.answers("a"), 1);
     EXPECT_EQ(d.sends("b"), 0);
     d.outcome(360, "a", 0, 100, Outcome::cancelled);
@@ -335,16 +336,16 @@
     EXPECT_EQ(d.sends("b"), 1);
 }
 
-TEST(Order, RequestsWithoutAKeyAreFree) {
+TEST(Order, RequestsWithoutAKeyAreNotOrdered) {
     Driver d(orderSettings());
     d.give(0, request("a", 900));
     d.give(1, request("b", 900));
     EXPECT_EQ(d.sends(), 2);
 }
 
-// ---- Rule 7 (budget) ----
+// ---- Rule 7: retry budget ----
 
-TEST(Budget, FurtherAttemptsStayWithinTheWindowsBudget) {
+TEST(Budget, RetriesStayWithinTheWindowsBudget) {
     Settings s = plainSettings();
     s.rules.budgetWindowMs = 5000;
     s.rules.budgetFree = 2;
@@ -360,23 +361,23 @@
     EXPECT_EQ(d.answers(), 10);
 }
 
-// ---- The mechanism ----
+// ---- Admission and rates ----
 
-/// Full answers put the cell's node under pressure; answers under it teach its rate.
-void saturate(Driver& d, double fromMs, double untilMs, double everyMs, const std::string& tag) {
+/// Overloads the node of shard 0 by slow answers, so that the scheduler learns its rate.
+void saturate(Driver& d, double fromMs, double untilMs, double intervalMs, const std::string& prefix) {
     int i = 0;
-    for (double t = fromMs; t < untilMs; t += everyMs, ++i) {
-        const RequestId id = tag + std::to_string(i);
-        const auto did = d.give(t, request(id, t + 1000, 0));
-        for (const Action& a : did) {
-            if (const auto* send = std::get_if<SendAttempt>(&a)) {
+    for (double t = fromMs; t < untilMs; t += intervalMs, ++i) {
+        const RequestId id = prefix + std::to_string(i);
+        const auto actions = d.give(t, request(id, t + 1000, 0));
+        for (const Action& action : actions) {
+            if (const auto* send = std::get_if<SendAttempt>(&action)) {
                 d.outcome(t, send->id, 0, 100, Outcome::done, i % 4 == 0 ? 10 : 700);
             }
         }
     }
 }
 
-TEST(Mechanism, AnOpenNodeIsNotThinned) {
+TEST(Admission, NodeWithoutOverloadIsNotThinned) {
     Driver d(plainSettings());
     for (int i = 0; i < 200; ++i) {
         const RequestId id = "r" + std::to_string(i);
@@ -386,81 +387,81 @@
     EXPECT_EQ(d.sends(), 200);
 }
 
-/// Tells the host what others ask of cell 0 in the present round: as a bid, should it be the auctioneer, and
-/// as the sum that whoever else may be it would tell.
-void tellDemand(Driver& d, double atMs, long round, double others, double own) {
-    const auto figures = [](double units, int hosts) {
+/// Passes the other hosts' demand for cell 0 in this round to the scheduler: as a bid, in case this host is
+/// the auctioneer, and as a bid sum from each other host that may be.
+void sendDemand(Driver& d, double atMs, long round, double othersUnits, double ownUnits) {
+    const auto bidText = [](double units, int hosts) {
         return " 0:10:0:" + std::to_string(std::lround(units * 10)) + ":100:0:" + std::to_string(hosts * 10);
     };
-    const std::string no = std::to_string(round);
+    const std::string roundText = std::to_string(round);
     for (int peer = 1; peer < 4; ++peer) {
-        if (peer == 1) d.give(atMs, PeerMessageEvent{peer, "b3 " + no + figures(others, 1)});
-        d.give(atMs, PeerMessageEvent{peer, "s3 " + no + figures(others + own, 2)});
+        if (peer == 1) d.give(atMs, PeerMessageEvent{peer, "b3 " + roundText + bidText(othersUnits, 1)});
+        d.give(atMs, PeerMessageEvent{peer, "s3 " + roundText + bidText(othersUnits + ownUnits, 2)});
     }
     d.pass(atMs + 70);
 }
 
-TEST(Mechanism, APressuredNodeIsThinnedAtOnceToTheBidsSplit) {
-    const auto passed = [](int peerOffered) {
+TEST(Admission, OverloadedNodeIsThinnedAtOnceToTheShareOfTheBids) {
+    const auto sendsWithPeerDemand = [](int peerOffered) {
         Driver d(plainSettings());
         saturate(d, 0, 8000, 10, "s");
-        tellDemand(d, 8001, 4, peerOffered, 400);
+        sendDemand(d, 8001, 4, peerOffered, 400);
         const int before = d.sends();
         saturate(d, 8080, 9900, 5, "t");
         EXPECT_GT(d.answers(), 0);
         return d.sends() - before;
     };
-    const int small = passed(1200);
-    const int large = passed(100);
-    EXPECT_GT(small, 0);
-    EXPECT_LT(small * 2, large);
+    const int smallShare = sendsWithPeerDemand(1200);
+    const int largeShare = sendsWithPeerDemand(100);
+    EXPECT_GT(smallShare, 0);
+    EXPECT_LT(smallShare * 2, largeShare);
 }
 
-TEST(Mechanism, AbsurdBidsLeaveAHostAFewRequests) {
+TEST(Admission, ImplausibleBidsLeaveAHostAFewRequests) {
     Settings s = plainSettings();
     s.hosts = 2;
     Driver d(s);
     saturate(d, 0, 8000, 4, "s");
-    tellDemand(d, 8001, 4, 999999, 1000);
+    sendDemand(d, 8001, 4, 999999, 1000);
     const int before = d.sends();
     saturate(d, 8080, 9900, 5, "t");
-    EXPECT_GE(d.sends() - before, 2);  // the few requests at least
+    EXPECT_GE(d.sends() - before, 2);  // the minimum share
 }
 
-TEST(Mechanism, ClientRepeatsPastTheirAimDoNotInflateBids) {
+TEST(Admission, ClientRetriesPastTheirAimDoNotInflateBids) {
     Driver d(plainSettings());
     d.give(0, request("first", 1000, 1));
     for (int i = 0; i < 10; ++i) d.give(1, request("again" + std::to_string(i), 501, 1));
     for (std::size_t i = 0; d.nowMs < 2100; d.pass(d.nowMs + 10, 10)) {
-        for (; i < d.all.size(); ++i) {  // what stays out would count as pressure
-            if (const Action a = d.all[i]; const auto* send = std::get_if<SendAttempt>(&a))
+        for (; i < d.all.size(); ++i) {  // attempts left in flight would count as overload
+            if (const Action action = d.all[i]; const auto* send = std::get_if<SendAttempt>(&action))
                 d.outcome(d.nowMs, send->id, 0, send->node, Outcome::timedOut, 1);
         }
     }
-    for (const Action& a : d.all) {
-        const auto* tell = std::get_if<SendPeerMessage>(&a);
-        EXPECT_TRUE(tell == nullptr || tell->text.ends_with(":20:0:0:10")) << tell->text;
+    for (const Action& action : d.all) {
+        const auto* message = std::get_if<SendPeerMessage>(&action);
+        EXPECT_TRUE(message == nullptr || message->text.ends_with(":20:0:0:10")) << message->text;
     }
     EXPECT_GE(Driver::count<SendPeerMessage>(d.all), 1);
 }
 
-TEST(Mechanism, HeldWorkThatCannotBeInTimeIsRefusedLongBeforeItsExpiry) {
+TEST(Admission, QueuedRequestsThatCannotBeInTimeAreRefusedLongBeforeTheirExpiry) {
     Driver d(coldSettings());
     d.pass(1500);
     d.give(1500, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 1400}}});
     for (int i = 0; i < 40; ++i) {
         const RequestId id = "r" + std::to_string(i);
-        const auto did = d.give(1502, request(id, 2502, 0));
-        if (Driver::count<SendAttempt>(did, id) > 0) d.outcome(1502, id, 0, 100, Outcome::done, 1);
+        const auto actions = d.give(1502, request(id, 2502, 0));
+        if (Driver::count<SendAttempt>(actions, id) > 0) d.outcome(1502, id, 0, 100, Outcome::done, 1);
     }
     d.pass(1750);
     EXPECT_GT(d.answers(), 20);
 }
 
-TEST(Mechanism, ASurgeIsThinnedWithinItsRound) {
+TEST(Admission, SurgeIsThinnedWithinItsRound) {
     Driver d(plainSettings());
     saturate(d, 0, 8000, 20, "s");
-    // Four times the last round's offer: the tokens must still last past the middle of the round.
+    // At four times the demand of the last round, the tokens must still last past the middle of the round.
     int early = 0;
     int late = 0;
     int before = d.sends();
@@ -472,7 +473,7 @@
     EXPECT_GT(late, early / 4);
 }
 
-TEST(Mechanism, AHotVolumeIsThinnedBeforeItsNeighbour) {
+TEST(Admission, HotVolumeIsThinnedBeforeItsNeighbour) {
     Settings s = plainSettings();
     s.plans[0].weight = 100;
     s.plans.push_back({.rate = 60, .reserve = 60, .weight = 0.01});
@@ -486,9 +487,9 @@
         RequestEvent r = request("t" + std::to_string(i), t + 1000, 0);
         r.volume = i % 10 == 0 ? "calm" : "v";
         r.planNo = i % 10 == 0 ? 1 : 0;
-        const auto did = d.give(t, r);
-        for (const Action& a : did) {
-            const auto* send = std::get_if<SendAttempt>(&a);
+        const auto actions = d.give(t, r);
+        for (const Action& action : actions) {
+            const auto* send = std::get_if<SendAttempt>(&action);
             if (send == nullptr) continue;
             if (send->id[0] == 't') ++(std::stoi(send->id.substr(1)) % 10 == 0 ? neighbour : hot);
             d.outcome(t, send->id, 0, 100, Outcome::done, i % 4 == 0 ? 10 : 700);
@@ -498,7 +499,7 @@
     EXPECT_LT(hot / 720.0, 0.8);
 }
 
-TEST(Mechanism, EarliestDueLeavesFirstAndTheBoundHolds) {
+TEST(Admission, EarliestDueIsSentFirstWithinTheInFlightLimit) {
     Settings s = plainSettings();
     s.classes.push_back({.aimMs = 600, .deadlineMs = 1000});
     Driver d(s);
@@ -507,31 +508,31 @@
         r.classNo = 1;
         d.give(0, r);
     }
-    const int out = d.sends();
-    EXPECT_LT(out, 5);
+    const int inFlight = d.sends();
+    EXPECT_LT(inFlight, 5);
     d.give(1, request("quick", 1001));
     EXPECT_EQ(d.sends("quick"), 0);
     d.outcome(10, "slow0", 0, 100, Outcome::done);
     EXPECT_EQ(d.sends("quick"), 1);
 }
 
-TEST(Mechanism, EveryRoundHostsBidAndMessagesFit) {
+TEST(Admission, BidsAreSentEveryRoundInMessagesOfLimitedSize) {
     Driver d(plainSettings(), 1, 0, 60);
     for (int i = 0; i < 60; ++i) d.give(1, request("r" + std::to_string(i), 1001, i));
     d.pass(2100, 10);
     int bids = 0;
-    for (const Action& a : d.all) {
-        if (const auto* tell = std::get_if<SendPeerMessage>(&a)) {
+    for (const Action& action : d.all) {
+        if (const auto* message = std::get_if<SendPeerMessage>(&action)) {
             ++bids;
-            EXPECT_LE(tell->text.size(), 256U);
+            EXPECT_LE(message->text.size(), 256U);
         }
     }
     EXPECT_GE(bids, 2);
 }
 
-// ---- Trouble ----
+// ---- Failures and invalid input ----
 
-TEST(Silence, AStuckNodeIsRefusedAtOnceTrickledAndBroughtBack) {
+TEST(Silence, SilentNodeIsRefusedAtOnceProbedAndRestored) {
     Driver d(plainSettings());
     for (const RequestId id : {"a", "b"}) d.give(0, request(id, 900, 0));
     d.pass(920);
@@ -540,7 +541,7 @@
     d.pass(1750);
     d.give(1750, request("refused", 2750, 0));
     EXPECT_EQ(Driver::count<RefuseRequest>(d.last, "refused"), 1);
-    d.give(1751, request("other", 2751, 1));  // another node's requests go on
+    d.give(1751, request("other", 2751, 1));  // requests of other nodes are not affected
     EXPECT_EQ(d.sends("other"), 1);
     d.pass(2300);
     d.give(2300, request("trickle", 3300, 0));
@@ -550,7 +551,7 @@
     EXPECT_EQ(d.sends("back"), 1);
 }
 
-TEST(LostAnswers, OneLostAnswerIsNoStuckNode) {
+TEST(LostAnswers, OneLostAnswerDoesNotMakeANodeSilent) {
     Driver d(plainSettings());
     d.give(0, request("lost", 1000, 0));
     d.pass(990);
@@ -558,7 +559,7 @@
     EXPECT_EQ(d.sends("next"), 1);
 }
 
-TEST(LostAnswers, AnOvertakenAttemptIsCalledOffAndRepeatedAndFreesItsPlace) {
+TEST(LostAnswers, OvertakenAttemptIsCancelledAndRepeatedAndFreesItsSlot) {
     Driver d(plainSettings());
     d.give(0, request("lost", 1000, 0));
     for (int i = 0; i < 30; ++i) {
@@ -572,7 +573,7 @@
     EXPECT_EQ(d.sends("lost"), 2);
 }
 
-TEST(LostAnswers, AnUnsafeRequestIsNotRepeated) {
+TEST(LostAnswers, NonIdempotentRequestIsNotRepeated) {
     Settings s = plainSettings();
     s.classes[0].idempotency = Idempotency::nonIdempotent;
     Driver d(s);
@@ -585,7 +586,7 @@
     EXPECT_EQ(Driver::count<CancelAttempt>(d.all, "lost"), 0);
 }
 
-TEST(Hostile, PeerNonsenseAndUnknownThingsArePassedOver) {
+TEST(InvalidInput, MalformedPeerMessagesAndUnknownIdsAreIgnored) {
     Driver d(plainSettings());
     for (const std::string& text :
          {std::string(), std::string("b"), std::string("b3"), std::string("b3 "), std::string("b2 1 0:1:1"),
@@ -598,42 +599,42 @@
     }
     d.give(1, PeerMessageEvent{-1, "b3 0 0:1:1:1:1:1"});
     d.give(1, PeerMessageEvent{99, "s3 0 0:1:1:1:1:1"});
-    d.outcome(2, "nobody", 3, 100, Outcome::done);
-    d.give(2, RequestAbandonedEvent{"nobody"});
-    d.give(2, StreamStartedEvent{"nobody", 0});
+    d.outcome(2, "unknown", 3, 100, Outcome::done);
+    d.give(2, RequestAbandonedEvent{"unknown"});
+    d.give(2, StreamStartedEvent{"unknown", 0});
     d.give(2, ProbeResultEvent{77, true});
     d.give(2, TimerFiredEvent{-5});
-    RequestEvent odd = request("odd", 1000);
-    odd.classNo = 9;
-    d.give(3, odd);
-    EXPECT_EQ(d.answers("odd"), 1);
-    RequestEvent nan = request("nan", std::numeric_limits<double>::quiet_NaN());
-    d.give(3, nan);
+    RequestEvent badClass = request("badClass", 1000);
+    badClass.classNo = 9;
+    d.give(3, badClass);
+    EXPECT_EQ(d.answers("badClass"), 1);
+    RequestEvent nanExpiry = request("nan", std::numeric_limits<double>::quiet_NaN());
+    d.give(3, nanExpiry);
     EXPECT_EQ(d.answers("nan"), 1);
     d.give(4, request("a", 1004));
     EXPECT_EQ(d.sends("a"), 1);
 }
 
-TEST(Hostile, SettingsThatNoDeploymentCouldMeanAreRefusedByName) {
-    Settings none;
-    EXPECT_THROW(Scheduler(none, 1, 0), std::invalid_argument);
-    Settings zero = plainSettings();
-    zero.classes[0].deadlineMs = 0;
-    EXPECT_THROW(Scheduler(zero, 1, 0), std::invalid_argument);
-    Settings endless = plainSettings();
-    endless.plans[0].limit = std::numeric_limits<double>::infinity();
-    EXPECT_THROW(Scheduler(endless, 1, 0), std::invalid_argument);
-    Settings negative = plainSettings();
-    negative.rules.fallMs = -1;
+TEST(InvalidInput, InvalidSettingsAreRejectedByName) {
+    Settings empty;
+    EXPECT_THROW(Scheduler(empty, 1, 0), std::invalid_argument);
+    Settings zeroDeadline = plainSettings();
+    zeroDeadline.classes[0].deadlineMs = 0;
+    EXPECT_THROW(Scheduler(zeroDeadline, 1, 0), std::invalid_argument);
+    Settings infiniteLimit = plainSettings();
+    infiniteLimit.plans[0].limit = std::numeric_limits<double>::infinity();
+    EXPECT_THROW(Scheduler(infiniteLimit, 1, 0), std::invalid_argument);
+    Settings negativeFall = plainSettings();
+    negativeFall.rules.fallMs = -1;
     try {
-        Scheduler refused(negative, 1, 0);
+        Scheduler rejected(negativeFall, 1, 0);
         FAIL();
     } catch (const std::invalid_argument& error) {
         EXPECT_NE(std::string(error.what()).find("rules"), std::string::npos);
     }
 }
 
-TEST(Hostile, BareSettingsWork) {
+TEST(InvalidInput, MinimalSettingsWork) {
     Settings s;
     s.classes.push_back({.aimMs = 0, .deadlineMs = 500});
     Driver d(s);
@@ -643,9 +644,9 @@
     EXPECT_EQ(Driver::count<SendPeerMessage>(d.all), 0);
 }
 
-TEST(Life, MemoryStaysBounded) {
+TEST(SchedulerTest, MemoryStaysBounded) {
     Driver d(orderSettings());
-    std::size_t most = 0;
+    std::size_t maxTableSize = 0;
     for (int i = 0; i < 20000; ++i) {
         const RequestId id = "r" + std::to_string(i);
         RequestEvent r = request(id, 20.0 * i + 1000, 0);
@@ -654,20 +655,20 @@
         d.give(20.0 * i, r);
         d.outcome(20.0 * i + 1, id, 0, 100, Outcome::done, 1);
         d.all.clear();
-        most = std::max(most, d.tableSize());
+        maxTableSize = std::max(maxTableSize, d.tableSize());
     }
-    EXPECT_LT(most, 2000U);
+    EXPECT_LT(maxTableSize, 2000U);
 }
 
-TEST(Life, TheSameEventsGiveTheSameActions) {
+TEST(SchedulerTest, SameSeedAndEventsGiveTheSameActions) {
     const auto run = [](std::uint64_t seed) {
         Driver d(plainSettings(), seed);
         saturate(d, 0, 6000, 7, "s");
         std::string text;
-        for (const Action& a : d.all) {
-            if (const auto* send = std::get_if<SendAttempt>(&a))
+        for (const Action& action : d.all) {
+            if (const auto* send = std::get_if<SendAttempt>(&action))
                 text += send->id + ">" + std::to_string(send->node) + ' ';
-            if (const auto* refuse = std::get_if<RefuseRequest>(&a)) text += refuse->id + "x ";
+            if (const auto* refuse = std::get_if<RefuseRequest>(&action)) text += refuse->id + "x ";
         }
         return text;
     };
--- a/tests/limedrum/shutdown_test.cpp
+++ b/tests/limedrum/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// The decisions of a host that shuts down: what may still be sent, and that every request has its answer in
-// time.
+// Decisions of the scheduler during a shutdown: which attempts may still begin, and that every request gets
+// its final answer in time.
 #include <doctest/doctest.h>
 
 #include "driver.h"
@@ -14,22 +14,22 @@
 constexpr double kAnswerByMs = 1400;
 const ShutdownEvent kShutdown{kFirstUntilMs, kFurtherUntilMs, kAnswerByMs};
 
-Settings longDeadlines(Idempotency repeat = Idempotency::idempotent) {
+Settings longDeadlines(Idempotency idempotency = Idempotency::idempotent) {
     Settings s = plainSettings();
     s.classes[0].deadlineMs = 60'000;
-    s.classes[0].idempotency = repeat;
+    s.classes[0].idempotency = idempotency;
     return s;
 }
-template <typename A>
-const A* firstOf(const std::vector<Action>& actions) {
+template <typename ActionType>
+const ActionType* firstOf(const std::vector<Action>& actions) {
     for (const Action& action : actions)
-        if (const auto* found = std::get_if<A>(&action)) return found;
+        if (const auto* found = std::get_if<ActionType>(&action)) return found;
     return nullptr;
 }
 
 }  // namespace
 
-TEST_CASE("shutdown decisions: what is open is answered by then, however long its client would wait") {
+TEST_CASE("shutdown decisions: open requests are answered by the shutdown's end, however late they expire") {
     Driver d(longDeadlines());
     d.give(0, request("before", 60'000));
     d.give(100, kShutdown);
@@ -50,7 +50,7 @@
     CHECK(Driver::count<CancelAttempt>(d.all, "out") == 1);
 }
 
-TEST_CASE("shutdown decisions: a request taken after the last first attempt is refused at once") {
+TEST_CASE("shutdown decisions: a request that arrives after the last first attempt is refused at once") {
     Driver d(longDeadlines());
     d.give(100, kShutdown);
     CHECK(Driver::count<SendAttempt>(d.give(kFirstUntilMs, request("in time", 60'000))) == 1);
@@ -59,11 +59,11 @@
     CHECK(Driver::count<RefuseRequest>(late, "late") == 1);
 }
 
-TEST_CASE("shutdown decisions: a request that waits without an attempt is refused when none may begin") {
+TEST_CASE("shutdown decisions: a request without an attempt is refused when none may begin any more") {
     Settings s = longDeadlines();
     bool ordered = false;
-    SUBCASE("for a server") {}
-    SUBCASE("for its key's turn") { ordered = true; }
+    SUBCASE("waiting for a server") {}
+    SUBCASE("waiting for its key's turn") { ordered = true; }
     s.classes[0].ordered = ordered;
     Driver d(s);
     RequestEvent first = request("first", 60'000), second = request("second", 60'000, ordered ? 0 : 7);
@@ -77,7 +77,7 @@
     CHECK(d.answers("first") == 0);
 }
 
-TEST_CASE("shutdown decisions: a retry begins within its time, and its last byte leaves within it") {
+TEST_CASE("shutdown decisions: a retry begins and its last byte is sent before the limit for retries") {
     Driver d(longDeadlines());
     d.give(100, kShutdown);
     d.give(kFirstUntilMs, request("r", 60'000));
@@ -90,7 +90,7 @@
         d.pass(kFurtherUntilMs);
         CHECK(d.sends("r") == 2);
     }
-    SUBCASE("its rest ends after it: answered at once") {
+    SUBCASE("retry delay ends after the limit: answered at once") {
         d.outcome(kFurtherUntilMs - 20, "r", 0, 100, Outcome::error);
         CHECK(d.answers("r") == 1);
         d.pass(kAnswerByMs + 100);
@@ -99,19 +99,19 @@
     }
 }
 
-TEST_CASE("shutdown decisions: a retry that waits when none may begin any more is answered then") {
+TEST_CASE("shutdown decisions: a retry that still waits at the limit for retries is answered then") {
     Driver d(longDeadlines());
     d.give(0, request("r", 60'000));
     d.give(100, kShutdown);
-    NodeListEvent gone{NodeListKind::update, {{.node = 100, .shard = 0, .state = NodeState::gone}}};
-    d.give(kFurtherUntilMs - 200, gone);
+    NodeListEvent nodeGone{NodeListKind::update, {{.node = 100, .shard = 0, .state = NodeState::gone}}};
+    d.give(kFurtherUntilMs - 200, nodeGone);
     d.outcome(kFurtherUntilMs - 200, "r", 0, 100, Outcome::connectFailed);
     REQUIRE(d.answers("r") == 0);
     d.pass(kFurtherUntilMs);
     CHECK(d.answers("r") == 1);
 }
 
-TEST_CASE("shutdown decisions: told again, the earlier moments count, and nothing gets later") {
+TEST_CASE("shutdown decisions: of repeated shutdown events, the earliest times count") {
     Driver d(longDeadlines());
     d.give(0, request("r", 60'000));
     d.give(100, kShutdown);
@@ -122,14 +122,14 @@
     CHECK(d.answers("r") == 1);
 }
 
-TEST_CASE("shutdown decisions: a host that stands still over all of it answers each request once") {
+TEST_CASE("shutdown decisions: a host that is paused during the whole shutdown answers each request once") {
     Driver d(longDeadlines());
     d.give(100, kShutdown);
     for (int i = 0; i < 20; ++i) d.give(200 + i, request(std::to_string(i), 60'000, i % 3));
-    const auto sent = d.sends();
+    const auto sendsBefore = d.sends();
     const auto actions = d.give(kAnswerByMs + 5000, request("last", 90'000));
     CHECK(Driver::count<SendAttempt>(actions) == 0);
-    CHECK(d.sends() == sent);
+    CHECK(d.sends() == sendsBefore);
     for (int i = 0; i < 20; ++i) CHECK(d.answers(std::to_string(i)) == 1);
     CHECK(d.answers("last") == 1);
 }
