--- a/src/limedrum/node_selection.cpp
+++ b/src/limedrum/node_selection.cpp
@@ -61,6 +61,7 @@
         if (node == nullptr) continue;
         const double workMs = (node->unitsInFlight + cell->queuedUnits + units) *
                               (node->usualMsPerUnit > 0 ? node->usualMsPerUnit : defaultMsPerUnit);
+        // The estimate has a random jitter of 25 %. Overloaded, cold and silent nodes get rising penalties.
         double expectedMs = (node->smoothedDelayMs + workMs) * (0.75 + 0.5 * random_.uniform());
         // The next answer will take at least as long as the node has been without one.
         if (node->attemptsInFlight > 0) expectedMs = std::max(expectedMs, now_ - node->lastHeardMs);
@@ -74,18 +75,18 @@
     return bestCell;
 }
 
-CellId Scheduler::Impl::route(const Request& request, const Node* avoid, bool calm) const {
+CellId Scheduler::Impl::route(const Request& request, const Node* avoid, bool avoidStrained) const {
     const auto holders = fleet_.weightedHolders.find(request.spec.shard);
     if (holders == fleet_.weightedHolders.end()) return request.cell;
     const std::uint64_t piece = fnv1aHash(request.spec.key.empty() ? request.spec.id : request.spec.key);
     const Node* best = nullptr;
     std::pair<int, double> bestRank;
     for (const Node* node : holders->second) {
-        const int suitability =
-            node->state != NodeState::serving ? 0
-            : node == avoid || isBlockedAsSilent(*node) || (calm && (isOverloaded(*node) || isCold(*node)))
-                ? 1
-                : 2;
+        const int suitability = node->state != NodeState::serving ? 0
+                                : node == avoid || isBlockedAsSilent(*node) ||
+                                        (avoidStrained && (isOverloaded(*node) || isCold(*node)))
+                                    ? 1
+                                    : 2;
         const std::pair nodeRank(suitability,
                                  rendezvousScore(piece, node->id, node->weight * warmUpFraction(*node)));
         if (best == nullptr || nodeRank > bestRank) best = node, bestRank = nodeRank;
--- a/src/limedrum/scheduler_impl.h
+++ b/src/limedrum/scheduler_impl.h
@@ -72,9 +72,10 @@
     // many cells, a random sample is compared. Returns -1 if no node serves.
     CellId chooseCellForNewObject(double units);
     // Returns the cell of a request's next attempt: of its shard's weighted holders, the one with the highest
-    // rendezvous score for the request's piece, except `avoid`, silent nodes and, if `calm`, overloaded and
-    // cold nodes. Without weighted holders, or if none but `avoid` is suitable, the request's present cell.
-    CellId route(const Request& request, const Node* avoid, bool calm) const;
+    // rendezvous score for the request's piece, except `avoid`, silent nodes and, if `avoidStrained`,
+    // overloaded and cold nodes. Without weighted holders, or if none but `avoid` is suitable, the request's
+    // present cell.
+    CellId route(const Request& request, const Node* avoid, bool avoidStrained) const;
     // Moves the requests of a cell whose weighted holder no longer serves to other holders, and those for new
     // objects to the cell that should answer first.
     void rerouteQueue(const Cell& cell);
@@ -90,6 +91,7 @@
     // Returns whether a silent node is due no trial attempt yet. Every kSilentNodeAttemptIntervalMs, one real
     // request is sent to a silent node to detect its return.
     bool isBlockedAsSilent(const Node& node) const;
+    // Adds a request to the demand that this host bids for. A client's late retry counts as 0 units.
     void recordDemand(const Request& request);
     // Returns the units per second to expect in the rest of the round: the rate of the last round, or that
     // of the current round if it is higher, so that a surge counts within its round.
@@ -99,6 +101,7 @@
     // few volumes to weigh them alone.) Without a valid bid sum or any demand, all hosts have equal shares.
     // The share is at least kMinRequestsPerRound requests, or an equal share of the bidders where less.
     double tokenShare(const Cell& cell, const Node& node) const;
+    // Returns the units that this host may have in flight at a node.
     double maxInFlightUnits(const Cell& cell, const Node& node) const;
     // Marks a node as overloaded until it answers in time, but for one round at most, since with many hosts
     // one host gets an answer from a node only every few seconds.
@@ -146,6 +149,8 @@
     // Returns the fraction of a budget that is split evenly. It is 0 for a cold node's budget where a host's
     // part would be less than one mean request; the coordinators then have all of it.
     double localBudgetFraction(BudgetId id) const;
+    // Returns the units left in a part (`fraction`) of a budget. `ledgerStartMs` is the start of this host,
+    // or -kNever for a node that started later, so that no earlier run of this host can have used its budget.
     double availableUnits(BudgetPart& ledger, const Budget& budget, double fraction,
                           double ledgerStartMs) const;
     void consumeBudget(BudgetId id, const std::optional<Budget>& budget, double units);
@@ -157,6 +162,7 @@
     bool mayRepeat(const Request& request, double mayHaveRunSinceMs) const;
     // Returns the time by which the last byte of a repeat must be sent, including all waits on the way.
     double repeatDeadlineMs(const Request& request, double mayHaveRunSinceMs) const;
+    // Returns whether the retry budget of the rules permits one more attempt after a request's first.
     bool retryBudgetAllows();
     // Returns the last time at which the shutdown lets an attempt of the request begin.
     double attemptUntilMs(const Request& request) const;
@@ -202,8 +208,11 @@
     // Cancels an attempt in order to repeat it, if the class, the maximum number of attempts and the retry
     // budget permit and the request has at least `neededMs` left.
     void cancelForRetry(const AttemptId& id, const Attempt& attempt, const Node& node, double neededMs);
+    // Handles what depends on time alone; see the head of this file.
     void sweep();
+    // Checks the cells that have queued requests or attempts in flight, and sends what may be sent.
     void processActiveCells();
+    // Requests a timer for the next time at which sweep() has work, unless an earlier one is pending.
     void armTimer();
 
     // ---- Rounds ----
@@ -212,7 +221,9 @@
     // changes every round, so that a failed auctioneer costs one round. (If all hosts sent their bids to all,
     // the number of messages would grow with the square of the number of hosts.)
     int auctioneer(CellId cellId) const;
+    // Sends this host's bids for the round that has just ended to the auctioneers of the cells.
     void sendBids();
+    // Sends the sums of the bids that this host has gathered as auctioneer.
     void sendBidSums();
     void sendBidMessage(int to, const BidMessage& message);
     void receiveBidMessage(int sender, const BidMessage& message);
