--- a/src/benchlink/wire.h
+++ b/src/benchlink/wire.h
@@ -1,5 +1,5 @@
-// The bench's wire: JSON lines to events of limedrum/scheduler.h and its actions back to JSON.
-// Keeps the instances by number. It decides nothing.
+// The protocol of the simulation bench: decodes JSON lines into scheduler events and encodes the resulting
+// actions as JSON.
 #pragma once
 
 #include <limedrum/scheduler.h>
@@ -10,15 +10,19 @@
 
 namespace limedrum::benchlink {
 
-/// A line the wire does not allow; the text names the batch and the field.
+/// Thrown for a malformed line. The message names the batch, or the line, and the field.
 class WireError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
+/// Holds the scheduler instances that the bench creates, by number.
 class BenchSession {
 public:
-    /// One batch in, one reply out, both without the line's end. Throws WireError on malformed input.
+    /// Handles one batch of events and returns the reply, both without a line end. The events of an instance
+    /// are passed to its scheduler together, after the whole batch is decoded. `Born` replaces an instance;
+    /// `CrashNow` removes it with the events of the batch that came before. Throws WireError on malformed
+    /// input.
     [[nodiscard]] std::string handleBatch(const std::string& line);
 
 private:
--- a/src/core/backoff.h
+++ b/src/core/backoff.h
@@ -1,5 +1,5 @@
-// How long to rest before a failed call is made again. Decides only: no clock, no I/O; randomness comes from
-// the seed handed in.
+// Computes the delays before the first call to a service and before retries of failed calls. Reads no clock
+// and does no I/O; the random part of the delays follows from a given seed.
 #pragma once
 
 #include <algorithm>
@@ -8,19 +8,24 @@
 
 namespace martencove {
 
-/// Mean rests around calls for the list of nodes, in ms: at most before the first, after one failure, after
-/// several.
+/// Delays around the calls that fetch the list of nodes, in ms.
 struct RetryDelays {
-    double initialMs = 0;
-    double minMs = 0;
-    double maxMs = 0;
+    double initialMs = 0;  ///< upper bound before the first call
+    double minMs = 0;      ///< mean after the first failure
+    double maxMs = 0;      ///< upper bound of the mean after several failures
 };
 
-/// `agentMs`: the mean rest where the list is pushed to an agent on the caller's own machine. That one has
-/// room for every call, and what it holds counts as told whether or not it was called: nothing is gained by
-/// waiting. Where the list is one service for all hosts, `eachMs` for each of them, but the first call comes
-/// by half of the time in which it must be asked, and the longest rest (half as much again as its mean) ends
-/// within the four such times that a failed call gives.
+/// Returns the delays for calls to discovery. `mustAskInMs` is the interval within which the list must be
+/// requested; 0: none is set.
+///
+/// Where the list is pushed to an agent on this machine (`onRequest` is false), the first call is made at
+/// once and the mean delay after a failure is `agentMs`. The agent can serve every call, and a change counts
+/// as known to this host once the agent has it, so a delay would only make the list older.
+///
+/// Where one service serves all hosts, its capacity requires a mean delay of `eachMs` for each of the
+/// `hosts`. The first call is made within half of `mustAskInMs`. The mean delay is at most twice
+/// `mustAskInMs`, because the longest delay, 1.5 times the mean, must end within the four intervals that a
+/// failed call grants.
 [[nodiscard]] inline RetryDelays makeRetryDelays(bool onRequest, int hosts, double mustAskInMs,
                                                  double agentMs, double eachMs) {
     if (!onRequest) return {0, agentMs, 4 * agentMs};
@@ -36,26 +41,27 @@
     return rests;
 }
 
-/// Rests that double from one failure to the next and are drawn from half to one and a half times their mean,
-/// so that callers who failed together, as at a server with too little room for all, neither come back
-/// together nor keep it full for good.
+/// Exponential backoff. The mean delay doubles with each failure in a row, and each delay is drawn from 0.5
+/// to 1.5 times the mean, so that callers that failed together, for example at an overloaded server, do not
+/// retry together and do not keep the server overloaded.
 class Backoff {
 public:
-    /// `leastMs` and `mostMs`: the mean rest after the first failure, and at most.
+    /// `leastMs` is the mean delay after the first failure, `mostMs` the upper bound of the mean.
     Backoff(double leastMs, double mostMs, std::uint64_t seed)
         : minMeanMs_(leastMs), maxMeanMs_(std::max(leastMs, mostMs)), meanMs_(leastMs), random_(seed) {}
 
-    /// Before the first call of all, in ms: callers who start together are spread over `overMs`.
+    /// Returns the delay before the first call, in ms: evenly distributed over `overMs`, so that callers that
+    /// start together are spread.
     [[nodiscard]] double initialDelayMs(double overMs) {
         return overMs * std::uniform_real_distribution<double>()(random_);
     }
-    /// The rest after one more failure, in ms.
+    /// Returns the delay after a failure, in ms, and doubles the mean for the next one.
     [[nodiscard]] double nextDelayMs() {
         const double restMs = meanMs_ * std::uniform_real_distribution<double>(0.5, 1.5)(random_);
         meanMs_ = std::min(2 * meanMs_, maxMeanMs_);
         return restMs;
     }
-    /// A call went well: the next failure is a first one.
+    /// Resets the mean delay after a successful call.
     void reset() { meanMs_ = minMeanMs_; }
 
 private:
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -1,13 +1,16 @@
-// The program's time: monotonic, with the Unix time at its start as origin. Hosts agree on it as far as
-// their clocks do, which the module's rounds need; a step of the system's clock does not move it.
+// Monotonic clock of the program, in ms since the Unix epoch.
 #pragma once
 
 #include <chrono>
 
 namespace martencove {
 
+/// Adds the monotonic time since its construction to the Unix time of its construction. Steps of the system
+/// clock do not affect it. Hosts agree on the time as closely as their system clocks did at the start, which
+/// the rounds of the scheduler depend on.
 class Clock {
 public:
+    /// Returns the current time in ms since the Unix epoch.
     [[nodiscard]] double nowMs() const {
         return originMs_ + sinceMs(std::chrono::steady_clock::now() - start_);
     }
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,4 +1,4 @@
-// What the program took in, sent and answered, by the names that are printed.
+// Counts the events of the process by the names under which they are exported.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,28 @@
 
 namespace martencove {
 
+/// Event counters by name. A counter exists from its first event on.
 class Counters {
 public:
     void add(std::string_view name, std::uint64_t more = 1) {
         const auto at = counts_.find(name);
         at == counts_.end() ? void(counts_.emplace(name, more)) : void(at->second += more);
     }
+    /// Returns the value of a counter; 0 if it has counted nothing.
     [[nodiscard]] std::uint64_t value(std::string_view name) const {
         const auto at = counts_.find(name);
         return at == counts_.end() ? 0 : at->second;
     }
-    /// A level, not a count: bytes of nodes' answers in memory, from the node's connection to the client's.
+    /// Gauge: bytes of node answers in memory, from the node connection to the client connection.
     std::size_t answerBytes = 0;
 
-    /// All of them, in order of the names.
+    /// Returns all counters and the gauge, ordered by name.
     [[nodiscard]] std::map<std::string, std::uint64_t> snapshot() const {
         std::map<std::string, std::uint64_t> out(counts_.begin(), counts_.end());
         out["answer_bytes"] = answerBytes;
         return out;
     }
-    /// One "name value" line each, in order of the names.
+    /// Formats all values as "name value" lines, ordered by name.
     [[nodiscard]] std::string toText() const {
         std::string lines;
         for (const auto& [name, count] : snapshot()) lines += name + ' ' + std::to_string(count) + '\n';
--- a/src/core/discovery_timing.h
+++ b/src/core/discovery_timing.h
@@ -1,34 +1,38 @@
-// The one grace between word of a server's leaving and the last first byte to it, and how the stages on that
-// path divide it. Decides only: figures in, figures out.
+// Divides the drain grace among the steps between a node's leaving and the last first byte sent to it. Pure
+// computation: reads no clock and does no I/O.
 //
-// Where lists are pushed to an agent on this machine, what the agent holds counts as told, though the call
-// that is out may never be answered. From then on this passes, at the worst:
+// Where the list of nodes is pushed to an agent on this machine, the platform counts a change as known to
+// this host once the agent has it, even if the pending call to the agent is never answered. The drain grace
+// runs from that moment. In the worst case it is spent on these steps:
 //
-//     the silent call        begun just before: it may be held, and its answer late by as much as is allowed
-//     its rest, next call    as often as calls fail one after the other, each with a rest before it
-//     turns of the loop      that call's answer read, decoded and in the module
-//     attempts out           nothing: all of which no byte has left are taken back in the turn that learns
+//     unanswered call        begun just before the change: the long poll and the answer timeout
+//     retries                for each failed call, the retry delay and the answer timeout
+//     event loop turns       the answer is read, decoded and passed to the scheduler
+//     attempts               no time: attempts of which no byte was sent are cancelled in the same turn
 //
-// No stage has more than its own part, and what is not given out stays for what no figure covers.
+// Each step has a share of its own. The rest of the grace is a margin for delays that are not modelled.
 #pragma once
 
 #include <algorithm>
 
 namespace martencove {
 
+/// Shares of the drain grace where the list is pushed to an agent on this machine, in ms.
 struct DrainGraceBudget {
-    double totalMs = 0;          ///< the settings' own figure
-    double longPollMs = 0;       ///< the agent may hold a call that waits for news
-    double answerTimeoutMs = 0;  ///< and answer later by so much: then the call is given up
-    double maxRetryDelayMs = 0;  ///< at most, between a call that failed and the next
-    double loopTurnMs = 0;       ///< the loop, from the answer to the last attempt taken back
+    double totalMs = 0;          ///< the drain grace of the settings
+    double longPollMs = 0;       ///< how long the agent may hold a call when there are no changes
+    double answerTimeoutMs = 0;  ///< how much later the answer may end before the call fails
+    double maxRetryDelayMs = 0;  ///< upper bound between a failed call and the next one
+    double loopTurnMs = 0;       ///< event loop time from the answer to the last cancelled attempt
 
-    /// From the change to the end, where so many further calls fail after the silent one.
+    /// Returns the time from the change to the last cancelled attempt if `furtherFailed` more calls fail
+    /// after the unanswered one.
     [[nodiscard]] double worstCaseMs(int furtherFailed) const {
         return longPollMs + answerTimeoutMs + (furtherFailed + 1) * (maxRetryDelayMs + answerTimeoutMs) +
                loopTurnMs;
     }
-    /// How many further calls may fail within the grace; below 0: not even the next call fits.
+    /// Returns how many more calls may fail within the grace, at most kMaxToleratedFailures; -1 if the grace
+    /// is too short even for the first call after the unanswered one.
     [[nodiscard]] int toleratedFailures() const {
         int failed = -1;
         while (failed < kMaxToleratedFailures && worstCaseMs(failed + 1) <= totalMs) ++failed;
@@ -37,7 +41,8 @@
     static constexpr int kMaxToleratedFailures = 100;
 };
 
-/// An answer of the agent is on its way for less than `leastSilentMs`, however short the grace.
+/// Divides the drain grace of a list that is pushed to an agent. The answer timeout is at least
+/// `leastSilentMs`, the time in which an agent that has an answer delivers it.
 [[nodiscard]] inline DrainGraceBudget divideDrainGrace(double graceMs, double leastSilentMs) {
     DrainGraceBudget out;
     out.totalMs = graceMs;
@@ -48,37 +53,43 @@
     return out;
 }
 
-/// Where the list is one service for all hosts, a change counts as told `toldAfterMs` after the service had
-/// it and could be reached, whatever call failed, was refused or fell silent meanwhile, and the grace begins
-/// then. At the worst this passes in the two together:
+/// Shares of the time that a change may take where one service serves the list to all hosts, in ms.
 ///
-///     a held call that falls silent   begun just before
-///     the next call                   soon after it; what is left is for its answer
-///     turns of the loop
+/// A change counts as known to this host a fixed time, the list propagation time, after the service had it
+/// and was reachable, whether calls failed, were refused or stayed unanswered meanwhile. The drain grace
+/// begins then. In the worst case both times together are spent on these steps:
 ///
-/// Calls wait at the service in turn, and one that is given up while it waits there still costs its turn:
-/// given up early and called again soon, the calls of thirty hosts kept the service full, and some heard
-/// nothing for 20 s. So a call may be late by as much as the protocol allows, and all rests but the one after
-/// a silence grow.
+///     unanswered call      begun just before the change: the long poll and the answer timeout
+///     next call            a short delay; the remaining time is for its answer
+///     event loop turns
+///
+/// The service handles calls in turn, and a call that is given up while it waits still costs its turn. When
+/// calls were given up early and retried soon, 30 hosts kept the service full and some of them received no
+/// list for 20 s. Therefore a call may be late by as much as the protocol allows, and all retry delays grow
+/// except the one after an unanswered call.
 struct OnRequestListBudget {
-    double totalMs = 0;     ///< the time until a change counts as told, and the grace
-    double longPollMs = 0;  ///< the service may hold a call that waits for news
-    double answerTimeoutMs =
-        0;  ///< and answer later by so much: then the call is given up; also a connection's dial
-    double maxDelayAfterTimeoutMs = 0;  ///< at most, before the call after a silent one
-    double maxRetryDelayMs = 0;         ///< at most, before any other after a failed one
-    double loopTurnMs = 0;              ///< the loop
+    double totalMs = 0;     ///< the list propagation time and the drain grace
+    double longPollMs = 0;  ///< how long the service may hold a call when there are no changes
+    /// How much later the answer may end before the call fails; also the timeout of a connect.
+    double answerTimeoutMs = 0;
+    double maxDelayAfterTimeoutMs = 0;  ///< upper bound before the call that follows an unanswered one
+    double maxRetryDelayMs = 0;         ///< upper bound before the call that follows any other failure
+    double loopTurnMs = 0;              ///< event loop time
 
-    /// What is left for the answer of the call that follows a silent one.
+    /// Returns the time left for the answer of the call that follows an unanswered one.
     [[nodiscard]] double remainingAnswerMs() const {
         return totalMs - longPollMs - answerTimeoutMs - maxDelayAfterTimeoutMs - loopTurnMs;
     }
-    /// From the service's return to the end: a rest that began just before, and a call that is late.
+    /// Returns the worst case from the moment when the service is reachable again: a retry delay that began
+    /// just before, then a call that takes the whole answer timeout.
     [[nodiscard]] double worstCaseAfterReturnMs() const {
         return maxRetryDelayMs + answerTimeoutMs + loopTurnMs;
     }
 };
 
+/// Divides the list propagation time `toldAfterMs` and the drain grace `graceMs`. `lateMs` is the answer
+/// timeout that the protocol allows. The 60 % for the retry delay limit worstCaseAfterReturnMs() and do not
+/// add to the other shares.
 [[nodiscard]] inline OnRequestListBudget divideOnRequestListTime(double toldAfterMs, double graceMs,
                                                                  double lateMs) {
     const double whole = toldAfterMs + graceMs;
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -68,10 +68,10 @@
     cancelUnsentAttempts(list);
 }
 
-// The rule on drains counts first bytes: an attempt that was decided before the list came may still wait for
-// its connection, or for its turn of the loop. All of which no byte has left are taken back in the turn that
-// learns of the leaving, so that no time passes in them. They never ran, and their requests go on as the
-// decisions say.
+// The drain rule counts the first bytes sent to a node. An attempt decided before the update arrived may
+// still wait for its connection or for a turn of the event loop. Attempts of which no byte was sent are
+// therefore cancelled in the turn that learns of the drain, so that they use up none of the drain grace. They
+// end as notConnected, since they were not executed, and the scheduler decides how their requests proceed.
 void Dispatcher::cancelUnsentAttempts(const NodeList& list) {
     std::unordered_set<NodeId> leaving;
     for (const NodeEntry& node : list.nodes)
@@ -84,7 +84,7 @@
     for (const AttemptId& name : back) {
         const auto at = activeRequests_.find(name.id);
         if (at == activeRequests_.end() || !at->second.attemptsInFlight.contains(name.number)) continue;
-        const auto job = at->second.handler;  // lives through the call
+        const auto job = at->second.handler;  // keeps the handler alive during the call
         if (!job->cancelIfUnsent(name.number)) continue;
         counters_.add("attempt_withdrawn");
         attemptEnded(name.id, name.number, AttemptStatus::notConnected);
@@ -110,8 +110,9 @@
     return out;
 }
 
-// What carrying out leads to (an attempt that fails at once, say) waits its turn: the module is never called
-// from within its own answer.
+// Executing actions can cause further events, for example an attempt that fails at once. The actions that
+// follow from these are queued instead of being executed recursively, so that the remaining actions of the
+// current set are executed first.
 void Dispatcher::execute(Actions todo) {
     pendingActions_.push_back(std::move(todo));
     if (executing_) return;
@@ -124,7 +125,7 @@
             const auto at = activeRequests_.find(answer.id);
             if (at == activeRequests_.end()) continue;
             if (answer.status == AnswerStatus::served) countUnits("units_served_plan_", at->second);
-            const auto job = at->second.handler;  // lives through the call
+            const auto job = at->second.handler;  // keeps the handler alive during the call
             job->sendAnswer(answer);
             eraseIfFinished(answer.id);
         }
@@ -148,10 +149,10 @@
     if (at == activeRequests_.end()) return;
     at->second.attemptsInFlight[attempt.number] = {attempt.node, nowMs()};
     const auto node = nodes_.find(attempt.node);
-    // An answer carried out a moment ago may have overtaken this attempt: it does not go out.
+    // The request may have been answered after this attempt was decided. The attempt is not sent then.
     if (node == nodes_.end() || !facade_.isOpen(attempt.id))
         return attemptEnded(attempt.id, attempt.number, AttemptStatus::notSent);
-    // Decided before word of its leaving came, or while that was carried out.
+    // The attempt was decided before the update that the node leaves, or while that update was handled.
     if (node->second.state != NodeState::ready) {
         counters_.add("attempt_withdrawn");
         return attemptEnded(attempt.id, attempt.number, AttemptStatus::notConnected);
@@ -171,7 +172,7 @@
     counters_.add(what + std::to_string(held.planNo), static_cast<std::uint64_t>(std::llround(held.units)));
 }
 
-// A node that left gets nothing any more: what is still out there needs no entry.
+// Erases nodes that are gone. Attempts still in flight there do not need the entry.
 void Dispatcher::storeNodes(const NodeList& list) {
     if (list.isSnapshot) nodes_.clear();
     for (const NodeEntry& node : list.nodes) {
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -1,6 +1,6 @@
-// Where fronts bring requests and the facade's word is carried out. A front stands behind each request as a
-// Job: it knows how to send an attempt on its wire and how to answer its client. The dispatcher knows
-// neither.
+// Connects the protocol fronts to the scheduler: passes requests and events to SchedulerFacade and executes
+// the actions that it returns. A front provides a RequestHandler for each request, which sends attempts and
+// the answer in the protocol of the front.
 #pragma once
 
 #include <deque>
@@ -15,49 +15,56 @@
 
 namespace martencove {
 
-/// A request as its front holds it. Called by the dispatcher alone.
+/// Front-specific part of a request. Called by the dispatcher only.
 class RequestHandler {
 public:
     virtual ~RequestHandler() = default;
-    /// Starts an attempt. Its end must reach Dispatcher::over(), once, unless it is cancelled.
+    /// Starts an attempt. Unless it is cancelled, the handler must report its end to
+    /// Dispatcher::attemptEnded() exactly once.
     virtual void sendAttempt(const Attempt& attempt, const NodeEntry& node) = 0;
-    /// Calls an attempt off: over() is not called for it any more.
+    /// Cancels an attempt. The handler must not report its end any more.
     virtual void cancelAttempt(int attempt) = 0;
-    /// Calls an attempt off if none of its bytes has left; true: nothing of it ever will, and over() is not
-    /// called for it any more.
+    /// Cancels an attempt if none of its bytes was sent yet. Returns whether it was cancelled: then nothing
+    /// of it will be sent, and the handler must not report its end any more.
     virtual bool cancelIfUnsent(int attempt) = 0;
-    /// The final answer, once, unless the client is gone.
+    /// Sends the final answer to the client. Called at most once, and not after the client disconnected.
     virtual void sendAnswer(const Answer& answer) = 0;
 };
 
-/// What the dispatcher needs of the network.
+/// Functions of the event loop and the network that the dispatcher calls.
 struct DispatcherCallbacks {
-    std::function<void(double ms)> scheduleTick;  ///< call Dispatcher::tick() in so many ms
+    std::function<void(double ms)> scheduleTick;  ///< calls Dispatcher::tick() after `ms`
     std::function<void(const PeerMessage&)> sendToPeer;
     std::function<void(const std::string&)> writeLog;
 };
 
+/// Owns the open requests and executes the scheduler's actions for them. Not thread-safe: all calls come from
+/// the event loop.
 class Dispatcher {
 public:
+    /// Starts with the nodes in `known`, which may be empty.
     Dispatcher(SchedulerFacade& facade, const Clock& clock, const Limits& limits, Counters& counters,
                DispatcherCallbacks ports, const NodeList& known);
 
-    /// Takes a request over. False: it is not taken (its id is open, or too many are) and stays the front's.
+    /// Accepts a request and holds its handler until the request is finished. Returns false, and does not
+    /// accept it, if a request with the same id is still active or Limits::maxOpenRequests are open.
     [[nodiscard]] bool submit(const Request& request, std::shared_ptr<RequestHandler> job);
-    /// An attempt ended, as its job learned it.
+    /// Reports the end of an attempt. Called by handlers; ignored for attempts that are not in flight.
     void attemptEnded(const RequestId& id, int attempt, AttemptStatus ending);
-    /// The client is gone.
+    /// Reports that the client of a request disconnected. Ignored once the request is answered.
     void clientDisconnected(const RequestId& id);
+    /// Applies an update of the list of nodes and cancels unsent attempts at nodes that leave.
     void updateNodes(const NodeList& list);
     void receivePeerMessage(const PeerMessage& message);
+    /// Handles the timers that are due.
     void tick();
-    /// The program shuts down by these moments, however long clients would wait. Called again where they get
-    /// earlier.
+    /// Shuts down by these points in time, whatever the deadlines of the requests. May be called again with
+    /// earlier ones.
     void shutDown(const ShutdownSchedule& moments);
-    /// The program ends: lets go of what is still held, before the parts that jobs stand on.
+    /// Releases all handlers at exit. Must be called before the objects that handlers use are destroyed.
     void releaseRequests() { activeRequests_.clear(); }
 
-    /// The nodes as the decisions see them, with their names and addresses.
+    /// Returns the scheduler's view of the nodes, with names and addresses.
     [[nodiscard]] std::vector<NodeStatus> nodeStatuses() const;
 
     [[nodiscard]] std::size_t knownNodeCount() const { return nodes_.size(); }
@@ -81,7 +88,6 @@
     void eraseIfFinished(const RequestId& id);
     void countUnits(const char* what, const ActiveRequest& held);
     void storeNodes(const NodeList& list);
-    /// Takes back what was decided for nodes that leave and has not begun to go out.
     void cancelUnsentAttempts(const NodeList& list);
 
     SchedulerFacade& facade_;
@@ -89,7 +95,7 @@
     const Limits& limits_;
     Counters& counters_;
     DispatcherCallbacks callbacks_;
-    std::unordered_map<RequestId, ActiveRequest> activeRequests_;  // open, or with attempts out
+    std::unordered_map<RequestId, ActiveRequest> activeRequests_;  // unanswered or with attempts in flight
     std::unordered_map<NodeId, NodeEntry> nodes_;
     std::deque<Actions> pendingActions_;
     bool executing_ = false;
--- a/src/core/facade.cpp
+++ b/src/core/facade.cpp
@@ -118,7 +118,7 @@
 
 Actions SchedulerFacade::toActions(double nowMs, const std::vector<limedrum::Action>& actions) {
     Actions todo;
-    // A request that has its answer gets no second one, whatever the module says of it later.
+    // Answers each request once, even if the scheduler returns further actions for it.
     const auto end = [&](const RequestId& id, AnswerStatus verdict, double retryAfterMs) {
         if (openRequests_.erase(id) > 0) todo.answers.push_back({id, verdict, retryAfterMs});
     };
--- a/src/core/values.h
+++ b/src/core/values.h
@@ -1,4 +1,5 @@
-// What the core deals in: requests, attempts, outcomes, answers. No wire is known here.
+// Value types that the protocol fronts, the dispatcher and the scheduler facade exchange. They do not depend
+// on any wire protocol.
 #pragma once
 
 #include <cstdint>
@@ -12,77 +13,83 @@
 using NodeId = std::uint64_t;
 using RequestId = std::string;
 
-/// A client's request, as a front has decoded it. Times are in ms of the program's clock.
+/// A client's request as decoded by a front. Times are in ms of Clock.
 struct Request {
     RequestId id;
     int classNo = 0;
     int planNo = 0;
     std::string piece;
     std::string volume;
-    double expiresMs = 0;
-    double units = 1;
-    int shard = -1;         ///< -1: a new object, any node may take it
-    int hostsOfVolume = 1;  ///< schedulers through which the volume's requests come
+    double expiresMs = 0;   ///< the client's deadline
+    double units = 1;       ///< cost of the request
+    int shard = -1;         ///< -1: a new object that any node may store
+    int hostsOfVolume = 1;  ///< number of schedulers that receive requests for the volume
 };
 
-/// What an attempt's time allows, in ms from when it is decided.
+/// Time limits of an attempt, in ms from the decision to send it.
 struct AttemptTimeouts {
-    double timeoutMs = 0;  ///< for its answer
-    /// For its last byte to leave: one that has not by then may not run any more, and never ran.
+    double timeoutMs = 0;  ///< until the answer must have arrived
+    /// Until the last byte must have been sent. An attempt that misses this is dropped and has not been
+    /// executed.
     double lastByteWithinMs = std::numeric_limits<double>::infinity();
 };
 
-/// One try of a request at a storage node; a request's attempts are numbered from 0.
+/// An attempt to execute a request at a storage node. The attempts of a request are numbered from 0.
 struct Attempt {
     RequestId id;
     int number = 0;
     NodeId node = 0;
     AttemptTimeouts timeouts;
 };
+/// Identifies an attempt by its request and its number.
 struct AttemptId {
     RequestId id;
     int number = 0;
 };
 
-/// `spoilt`: what came back was no answer to it; like an error, it shows a node that runs.
+/// How an attempt ended.
 enum class AttemptStatus {
     served,
-    error,
-    rejected,
+    error,     ///< the node answered with an error
+    rejected,  ///< the node declined the request without executing it
     timedOut,
-    notConnected,
+    notConnected,  ///< no connection was made or no byte was sent: it was not executed
     connectionLost,
     cancelled,
-    notSent,
-    invalidReply
+    notSent,      ///< dropped before it reached the network
+    invalidReply  ///< the reply does not match the request; like an error, it shows that the node runs
 };
 inline constexpr int kAttemptStatusCount = 9;
 
-/// How an attempt ended.
+/// The end of an attempt, reported to the scheduler.
 struct AttemptOutcome {
     RequestId id;
     int attempt = 0;
     NodeId node = 0;
     AttemptStatus status = AttemptStatus::served;
-    double durationMs = 0;
+    double durationMs = 0;  ///< from the hand-over to the front
 };
 
+/// The result that the client of a request gets.
 enum class AnswerStatus { served, refused, failed };
 
-/// The one final answer to a request.
+/// The final answer to a request. Each request gets at most one.
 struct Answer {
     RequestId id;
     AnswerStatus status = AnswerStatus::failed;
-    double retryAfterMs = 0;  ///< of a refusal: when to come back; 0: no advice
+    double retryAfterMs = 0;  ///< for refusals: when the client should retry; 0: no advice
 };
 
+/// A message from or to the scheduler of another host.
 struct PeerMessage {
-    int peer = 0;
+    int peer = 0;  ///< host number
     std::string text;
 };
 
+/// The state of a node in the list of nodes.
 enum class NodeState { ready, draining, gone };
 
+/// A storage node in the list of nodes.
 struct NodeEntry {
     NodeId id = 0;
     std::string name;
@@ -90,31 +97,32 @@
     int zone = 0;
     int shard = 0;
     NodeState state = NodeState::ready;
-    double bootTimeMs = 0;  ///< Unix time of its last start; 0: long ago
-    double weight = 0;      ///< its part of the shard's work against other holders; 0: not told
+    double bootTimeMs = 0;  ///< Unix time of the last start; 0: long ago
+    double weight = 0;      ///< share of the shard's work relative to its other holders; 0: not given
 };
-/// What discovery told: a whole list or the entries that changed.
+
+/// An update of the list of nodes from discovery.
 struct NodeList {
     std::int64_t version = 0;
-    bool isSnapshot = false;
+    bool isSnapshot = false;  ///< true: the complete list; false: only the entries that changed
     std::vector<NodeEntry> nodes;
 };
 
-/// How the decisions see a node now.
+/// The scheduler's current view of a node.
 struct NodeStatus {
     NodeEntry node;
-    bool receivesNewWork = false;  ///< new work of its shard goes to it
-    bool unresponsive = false;     ///< it takes work and answers nothing
-    double unitsPerSecond = 0;     ///< units a second that it can do; 0: not learned
+    bool receivesNewWork = false;  ///< gets new requests of its shard
+    bool unresponsive = false;     ///< accepts requests but does not answer
+    double unitsPerSecond = 0;     ///< estimated capacity; 0: not known yet
 };
 
-/// What is to be done now, at the time of the call that returned it.
+/// Actions that the caller has to execute at once, returned by the calls of SchedulerFacade.
 struct Actions {
     std::vector<Answer> answers;
     std::vector<AttemptId> cancellations;
     std::vector<Attempt> attempts;
     std::vector<PeerMessage> peerMessages;
-    std::vector<std::string> logMessages;  ///< for the log
+    std::vector<std::string> logMessages;
 };
 
 }  // namespace martencove
--- a/src/settings_json/fields.h
+++ b/src/settings_json/fields.h
@@ -1,4 +1,7 @@
-// Reads fields of a JSON object; what is missing or of the wrong kind is told by the field's name.
+// Typed access to the fields of JSON objects. Errors name the field.
+//
+// All functions throw FieldError if a field is missing or has the wrong type. The functions with a parameter
+// `otherwise` return it if the field is missing or null.
 #pragma once
 
 #include <limedrum/scheduler.h>
@@ -14,7 +17,7 @@
 
 using Json = nlohmann::json;
 
-/// A field that is missing or of the wrong kind; the text begins with its name.
+/// Thrown for a field that is missing or has an invalid value. The message begins with the field's name.
 class FieldError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -24,12 +27,14 @@
     throw FieldError(field + ": " + what);
 }
 
+/// Returns the field, or null if it is missing or null. Throws FieldError if `object` is not an object.
 inline const Json* findField(const Json& object, const char* name) {
-    if (!object.is_object()) throwFieldError(name, "looked for in something that is no object");
+    if (!object.is_object()) throwFieldError(name, "the value that should contain it is not an object");
     const auto it = object.find(name);
     return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
+/// Returns the field. Throws FieldError if it is missing or null.
 inline const Json& requireField(const Json& object, const char* name) {
     const Json* value = findField(object, name);
     if (value == nullptr) throwFieldError(name, "missing");
@@ -44,18 +49,20 @@
     if (!value.is_number_integer()) throwFieldError(name, "not a whole number");
     return value.get<std::int64_t>();
 }
+/// Throws FieldError if the value does not fit into 32 bits.
 inline int getInt(const Json& value, const char* name) {
     const std::int64_t wide = getInt64(value, name);
     if (wide < INT32_MIN || wide > INT32_MAX) throwFieldError(name, "out of range");
     return static_cast<int>(wide);
 }
+/// Throws FieldError if the value does not fit into 32 bits or is negative.
 inline NodeId getNodeId(const Json& value, const char* name) {
     const std::int64_t wide = getInt64(value, name);
     if (wide < 0 || wide > UINT32_MAX) throwFieldError(name, "out of range");
     return static_cast<NodeId>(wide);
 }
 inline bool getBool(const Json& value, const char* name) {
-    if (!value.is_boolean()) throwFieldError(name, "not true or false");
+    if (!value.is_boolean()) throwFieldError(name, "not a boolean");
     return value.get<bool>();
 }
 inline std::string getString(const Json& value, const char* name) {
@@ -63,10 +70,11 @@
     return value.get<std::string>();
 }
 inline const Json& getArray(const Json& value, const char* name) {
-    if (!value.is_array()) throwFieldError(name, "not a list");
+    if (!value.is_array()) throwFieldError(name, "not an array");
     return value;
 }
 
+// Optional fields of an object.
 inline double getNumber(const Json& object, const char* name, double otherwise) {
     const Json* value = findField(object, name);
     return value == nullptr ? otherwise : getNumber(*value, name);
@@ -83,6 +91,7 @@
     const Json* value = findField(object, name);
     return value == nullptr ? otherwise : getString(*value, name);
 }
+/// Returns the field, or an empty object if it is missing or null.
 inline const Json& getObject(const Json& object, const char* name) {
     static const Json empty = Json::object();
     const Json* value = findField(object, name);
@@ -91,6 +100,7 @@
     return *value;
 }
 
+/// Returns the value whose spelling is `given`. Throws FieldError naming the field `name` if there is none.
 template <typename Value>
 Value parseEnum(const std::string& given, const char* name,
                 std::initializer_list<std::pair<const char*, Value>> known) {
--- a/src/settings_json/retune.cpp
+++ b/src/settings_json/retune.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr const char* kDropped = "/";  // a name that no request can have
+constexpr const char* kDropped = "/";  // name of retired classes; no request can have it
 constexpr std::size_t kMostClasses = 1024;
 
 }  // namespace
 
 ProgramSettings mergeSettings(const ProgramSettings& now, ProgramSettings next) {
-    if (next.scheduler.attemptCap < 1) throwFieldError("SendCap", "not above 0");
-    if (next.classNames.empty()) throwFieldError("Classes", "none");
+    if (next.scheduler.attemptCap < 1) throwFieldError("SendCap", "less than 1");
+    if (next.classNames.empty()) throwFieldError("Classes", "empty");
     std::set<std::string> names;
     for (const std::string& name : next.classNames)
         if (name.empty() || name == kDropped || !names.insert(name).second)
-            throwFieldError("Classes.Name", "empty or told twice");
+            throwFieldError("Classes.Name", "empty, reserved or duplicate");
     std::vector<ClassSettings> classes = now.scheduler.classes;
     std::vector<std::string> classNames(classes.size(), kDropped);
     for (ClassSettings& c : classes) c.retired = true;
@@ -33,7 +33,7 @@
             alive.retired = false;
             return alive == wanted;
         };
-        // The number that has its name already, else any of the same rules that nobody has.
+        // Reuses a number that is not taken and has the same rules, preferably one with the same name.
         std::size_t at = classes.size();
         for (std::size_t i = 0; i < classes.size(); ++i) {
             if (!classes[i].retired || !same(classes[i])) continue;
@@ -45,7 +45,7 @@
         }
         if (at == classes.size()) {
             if (classes.size() >= kMostClasses)
-                throwFieldError("Classes", "changed too often since the start");
+                throwFieldError("Classes", "too many changes since the start");
             classes.push_back(wanted);
             classNames.emplace_back();
         }
@@ -56,7 +56,7 @@
     next.classNames = std::move(classNames);
     for (std::size_t i = 0; i < now.planNames.size(); ++i) {
         if (i >= next.planNames.size() || next.planNames[i] != now.planNames[i])
-            throwFieldError("ServiceLevels", "dropped or in another order");
+            throwFieldError("ServiceLevels", "removed or reordered");
     }
     return next;
 }
--- a/src/settings_json/retune.h
+++ b/src/settings_json/retune.h
@@ -1,17 +1,20 @@
-// New settings in place of those in force, while requests hold numbers of the old ones. Pure.
+// Prepares changed settings for use at run time, while open requests refer to classes and plans by the
+// numbers of the current settings. Pure functions.
 #pragma once
 
 #include "settings_json/settings_json.h"
 
 namespace limedrum {
 
-/// `next` with the numbers of `now`: a class that is unchanged keeps its number, one that is new or different
-/// gets another, and the old one's rules stay for the requests that hold it. Plans stand at their places,
-/// since hosts tell each other their numbers. Throws fields::FieldError where that cannot be done.
+/// Returns `next` with the class numbers of `now`. An unchanged class keeps its number. A new or changed
+/// class gets another number; the old one is retired but keeps its rules for the requests that refer to it.
+/// Plans must keep their order, since hosts exchange plan numbers; new ones may follow at the end. Throws
+/// fields::FieldError if the settings cannot be merged.
 [[nodiscard]] ProgramSettings mergeSettings(const ProgramSettings& now, ProgramSettings next);
 
-/// Throws fields::FieldError, naming it, where `next` lacks a key that `now` has: such a file is not whole.
-/// Of a list's entries each needs what all those of `now` have.
+/// Throws fields::FieldError, with the path of the key, if `next` lacks a key that `now` has, which shows
+/// that the file is incomplete. Each element of an array must have the keys that all elements in `now` share.
+/// `at` is the path of the two values.
 void requireKeys(const nlohmann::json& now, const nlohmann::json& next, const std::string& at = "");
 
 }  // namespace limedrum
--- a/src/settings_json/settings_json.h
+++ b/src/settings_json/settings_json.h
@@ -1,4 +1,5 @@
-// The settings object, as the simulator's first message and the platform's configuration give it.
+// Decodes the JSON settings object that the simulator sends when it creates an instance and that the
+// configuration of the platform contains.
 #pragma once
 
 #include <limedrum/scheduler.h>
@@ -9,18 +10,19 @@
 
 namespace limedrum {
 
-/// The module's settings, and what else a program needs of the object.
+/// The settings of the scheduler, and those of the same JSON object that only the program uses.
 struct ProgramSettings {
     Settings scheduler;
     std::vector<std::string> classNames;  ///< by class number
     std::vector<std::string> planNames;   ///< by plan number
-    double nodeIdleTimeoutMs = 15000;     ///< a node closes a connection idle for this long
-    double connectTimeoutMs = 250;        ///< a connection not made within this has failed
-    int shardCount = 0;                   ///< counted from 0; 0: not told how many
-    int maxOpenRequests = 1 << 16;        ///< requests held at once, at most
+    double nodeIdleTimeoutMs = 15000;     ///< nodes close connections idle for this long
+    double connectTimeoutMs = 250;        ///< for a connection to a node
+    int shardCount = 0;                   ///< shards are numbered from 0; 0: count unknown
+    int maxOpenRequests = 1 << 16;        ///< upper bound
 };
 
-/// Throws fields::FieldError, whose text names the field.
+/// Decodes the settings. Missing optional fields get their defaults, unknown fields are ignored. Throws
+/// fields::FieldError, whose message names the field.
 [[nodiscard]] ProgramSettings decodeSettings(const nlohmann::json& json);
 
 }  // namespace limedrum
