--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -6,11 +6,11 @@
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    limedrum::benchlink::BenchSession link;
+    limedrum::benchlink::BenchSession session;
     std::string line;
     while (std::getline(std::cin, line)) {
         try {
-            std::cout << link.handleBatch(line) << '\n' << std::flush;
+            std::cout << session.handleBatch(line) << '\n' << std::flush;
         } catch (const limedrum::benchlink::WireError& error) {
             std::cerr << "limedrum_benchlink: " << error.what() << '\n';
             return 1;
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -13,16 +13,16 @@
 
 using namespace fields;
 
-NodeListEvent listEvent(const Json& json) {
-    NodeListEvent out;
-    out.kind = parseEnum<NodeListKind>(getString(requireField(json, "Kind"), "Kind"), "Kind",
-                                       {{"update", NodeListKind::update},
-                                        {"replace", NodeListKind::full},
-                                        {"restored", NodeListKind::restored},
-                                        {"unavailable", NodeListKind::unavailable}});
+NodeListEvent decodeNodeList(const Json& json) {
+    NodeListEvent event;
+    event.kind = parseEnum<NodeListKind>(getString(requireField(json, "Kind"), "Kind"), "Kind",
+                                         {{"update", NodeListKind::update},
+                                          {"replace", NodeListKind::full},
+                                          {"restored", NodeListKind::restored},
+                                          {"unavailable", NodeListKind::unavailable}});
     const Json* entries = findField(json, "Hosts");
-    if (entries == nullptr && out.kind != NodeListKind::unavailable) throwFieldError("Hosts", "missing");
-    if (entries == nullptr) return out;
+    if (entries == nullptr && event.kind != NodeListKind::unavailable) throwFieldError("Hosts", "missing");
+    if (entries == nullptr) return event;
     for (const Json& entry : getArray(*entries, "Hosts")) {
         NodeEntry node;
         node.node = getNodeId(requireField(entry, "Server"), "Server");
@@ -34,50 +34,50 @@
                                            {"DRAINING", NodeState::draining},
                                            {"DELETED", NodeState::gone}});
         node.bootMs = getNumber(entry, "BootTimeMs", 0.0);
-        out.entries.push_back(node);
+        event.entries.push_back(node);
     }
-    return out;
+    return event;
 }
 
-RequestEvent requestEvent(const Json& json) {
-    RequestEvent out;
-    out.id = getString(requireField(json, "Corr"), "Corr");
-    out.classNo = getInt(requireField(json, "Service"), "Service");
-    out.planNo = getInt(json, "PolicyNo", 0);
-    out.key = getString(json, "Chunk", "");
-    out.volume = getString(json, "Volume", "");
-    out.expiresMs = getNumber(requireField(json, "ExpiresMs"), "ExpiresMs");
-    out.units = getNumber(json, "Units", 1.0);
-    out.shard = getInt(json, "SlotNo", -1);
-    out.hostsOfVolume = getInt(json, "SetSize", 1);
-    return out;
+RequestEvent decodeRequest(const Json& json) {
+    RequestEvent event;
+    event.id = getString(requireField(json, "Corr"), "Corr");
+    event.classNo = getInt(requireField(json, "Service"), "Service");
+    event.planNo = getInt(json, "PolicyNo", 0);
+    event.key = getString(json, "Chunk", "");
+    event.volume = getString(json, "Volume", "");
+    event.expiresMs = getNumber(requireField(json, "ExpiresMs"), "ExpiresMs");
+    event.units = getNumber(json, "Units", 1.0);
+    event.shard = getInt(json, "SlotNo", -1);
+    event.hostsOfVolume = getInt(json, "SetSize", 1);
+    return event;
 }
 
-OutcomeEvent outcomeEvent(const Json& json) {
-    OutcomeEvent out;
-    out.id = getString(requireField(json, "Corr"), "Corr");
-    out.attempt = getInt(requireField(json, "Shot"), "Shot");
-    out.node = getNodeId(requireField(json, "Server"), "Server");
-    out.outcome = parseEnum<Outcome>(getString(requireField(json, "Verdict"), "Verdict"), "Verdict",
-                                     {{"done", Outcome::done},
-                                      {"err", Outcome::error},
-                                      {"busy", Outcome::rejected},
-                                      {"etimedout", Outcome::timedOut},
-                                      {"econnrefused", Outcome::connectFailed},
-                                      {"econnreset", Outcome::reset},
-                                      {"ecanceled", Outcome::cancelled},
-                                      {"skipped", Outcome::notSent}});
-    out.durationMs = getNumber(requireField(json, "CostTimeMs"), "CostTimeMs");
-    out.requestFinished = getBool(requireField(json, "Last"), "Last");
-    out.utilizationPct = getNumber(json, "UsePct", 0.0);
-    out.unitsViaOtherHosts = getNumber(json, "Delta", 0.0);
-    return out;
+OutcomeEvent decodeOutcome(const Json& json) {
+    OutcomeEvent event;
+    event.id = getString(requireField(json, "Corr"), "Corr");
+    event.attempt = getInt(requireField(json, "Shot"), "Shot");
+    event.node = getNodeId(requireField(json, "Server"), "Server");
+    event.outcome = parseEnum<Outcome>(getString(requireField(json, "Verdict"), "Verdict"), "Verdict",
+                                       {{"done", Outcome::done},
+                                        {"err", Outcome::error},
+                                        {"busy", Outcome::rejected},
+                                        {"etimedout", Outcome::timedOut},
+                                        {"econnrefused", Outcome::connectFailed},
+                                        {"econnreset", Outcome::reset},
+                                        {"ecanceled", Outcome::cancelled},
+                                        {"skipped", Outcome::notSent}});
+    event.durationMs = getNumber(requireField(json, "CostTimeMs"), "CostTimeMs");
+    event.requestFinished = getBool(requireField(json, "Last"), "Last");
+    event.utilizationPct = getNumber(json, "UsePct", 0.0);
+    event.unitsViaOtherHosts = getNumber(json, "Delta", 0.0);
+    return event;
 }
 
-Event event(const std::string& verb, const Json& json) {
-    if (verb == "Members") return listEvent(json);
-    if (verb == "Submit") return requestEvent(json);
-    if (verb == "Reply") return outcomeEvent(json);
+Event decodeEvent(const std::string& verb, const Json& json) {
+    if (verb == "Members") return decodeNodeList(json);
+    if (verb == "Submit") return decodeRequest(json);
+    if (verb == "Reply") return decodeOutcome(json);
     if (verb == "Opened")
         return StreamStartedEvent{getString(requireField(json, "Corr"), "Corr"),
                                   getInt(requireField(json, "Shot"), "Shot")};
@@ -137,8 +137,8 @@
         out["Enable"] = true;
         return out;
     }
-    Json operator()(const LogMessage& a) const { return faultOrLog("SayLog", a.text); }
-    Json faultOrLog(const char* verb, const std::string& reason) const {
+    Json operator()(const LogMessage& a) const { return makeWithReason("SayLog", a.text); }
+    Json makeWithReason(const char* verb, const std::string& reason) const {
         Json out = make(verb);
         out["ReasonText"] = reason;
         return out;
@@ -158,7 +158,7 @@
         batchName = "batch " + std::to_string(round);
         const double nowMs = getNumber(requireField(batch, "ClockMs"), "ClockMs");
         Json decisions = Json::array();
-        std::map<int, std::vector<Event>> waiting;
+        std::map<int, std::vector<Event>> pendingEvents;
         for (const Json& entry : getArray(requireField(batch, "inbox"), "inbox")) {
             const int instance = getInt(requireField(entry, "I"), "I");
             const std::string verb = getString(requireField(entry, "verb"), "verb");
@@ -167,22 +167,22 @@
                 if (!seed.is_number_integer()) throwFieldError("RngSeed", "not a whole number");
                 const Json& info = requireField(entry, "Info");
                 if (!info.is_object()) throwFieldError("Info", "not an object");
-                const Settings parsed = decodeSettings(info).scheduler;
-                waiting.erase(instance);
+                const Settings settings = decodeSettings(info).scheduler;
+                pendingEvents.erase(instance);
                 instances_.erase(instance);
                 try {
-                    instances_.emplace(instance, Scheduler(parsed, seed.get<std::uint64_t>(), nowMs));
+                    instances_.emplace(instance, Scheduler(settings, seed.get<std::uint64_t>(), nowMs));
                 } catch (const std::exception& error) {
-                    decisions.push_back(ActionToJson{instance}.faultOrLog("InternalError", error.what()));
+                    decisions.push_back(ActionToJson{instance}.makeWithReason("InternalError", error.what()));
                 }
             } else if (verb == "CrashNow") {
-                waiting.erase(instance);
+                pendingEvents.erase(instance);
                 instances_.erase(instance);
             } else {
-                waiting[instance].push_back(event(verb, entry));
+                pendingEvents[instance].push_back(decodeEvent(verb, entry));
             }
         }
-        for (const auto& [instance, events] : waiting) {
+        for (const auto& [instance, events] : pendingEvents) {
             const auto it = instances_.find(instance);
             if (it == instances_.end()) continue;
             const ActionToJson toJson{instance};
@@ -191,7 +191,7 @@
                     decisions.push_back(std::visit(toJson, action));
                 }
             } catch (const std::exception& error) {
-                decisions.push_back(toJson.faultOrLog("InternalError", error.what()));
+                decisions.push_back(toJson.makeWithReason("InternalError", error.what()));
             }
         }
         const Json reply{{"round", round}, {"decisions", std::move(decisions)}};
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -11,23 +11,23 @@
 /// Event counters by name. A counter exists from its first event on.
 class Counters {
 public:
-    void add(std::string_view name, std::uint64_t more = 1) {
-        const auto at = counts_.find(name);
-        at == counts_.end() ? void(counts_.emplace(name, more)) : void(at->second += more);
+    void add(std::string_view name, std::uint64_t increment = 1) {
+        const auto it = counts_.find(name);
+        it == counts_.end() ? void(counts_.emplace(name, increment)) : void(it->second += increment);
     }
     /// Returns the value of a counter; 0 if it has counted nothing.
     [[nodiscard]] std::uint64_t value(std::string_view name) const {
-        const auto at = counts_.find(name);
-        return at == counts_.end() ? 0 : at->second;
+        const auto it = counts_.find(name);
+        return it == counts_.end() ? 0 : it->second;
     }
     /// Gauge: bytes of node answers in memory, from the node connection to the client connection.
     std::size_t answerBytes = 0;
 
     /// Returns all counters and the gauge, ordered by name.
     [[nodiscard]] std::map<std::string, std::uint64_t> snapshot() const {
-        std::map<std::string, std::uint64_t> out(counts_.begin(), counts_.end());
-        out["answer_bytes"] = answerBytes;
-        return out;
+        std::map<std::string, std::uint64_t> values(counts_.begin(), counts_.end());
+        values["answer_bytes"] = answerBytes;
+        return values;
     }
     /// Formats all values as "name value" lines, ordered by name.
     [[nodiscard]] std::string toText() const {
--- a/src/core/discovery_timing.h
+++ b/src/core/discovery_timing.h
@@ -25,10 +25,10 @@
     double maxRetryDelayMs = 0;  ///< upper bound between a failed call and the next one
     double loopTurnMs = 0;       ///< event loop time from the answer to the last cancelled attempt
 
-    /// Returns the time from the change to the last cancelled attempt if `furtherFailed` more calls fail
+    /// Returns the time from the change to the last cancelled attempt if `furtherFailures` more calls fail
     /// after the unanswered one.
-    [[nodiscard]] double worstCaseMs(int furtherFailed) const {
-        return longPollMs + answerTimeoutMs + (furtherFailed + 1) * (maxRetryDelayMs + answerTimeoutMs) +
+    [[nodiscard]] double worstCaseMs(int furtherFailures) const {
+        return longPollMs + answerTimeoutMs + (furtherFailures + 1) * (maxRetryDelayMs + answerTimeoutMs) +
                loopTurnMs;
     }
     /// Returns how many more calls may fail within the grace, at most kMaxToleratedFailures; -1 if the grace
@@ -42,15 +42,15 @@
 };
 
 /// Divides the drain grace of a list that is pushed to an agent. The answer timeout is at least
-/// `leastSilentMs`, the time in which an agent that has an answer delivers it.
-[[nodiscard]] inline DrainGraceBudget divideDrainGrace(double graceMs, double leastSilentMs) {
-    DrainGraceBudget out;
-    out.totalMs = graceMs;
-    out.longPollMs = graceMs * 0.15;
-    out.answerTimeoutMs = std::max(graceMs * 0.1, leastSilentMs);
-    out.maxRetryDelayMs = graceMs * 0.05;
-    out.loopTurnMs = graceMs * 0.1;
-    return out;
+/// `minAnswerTimeoutMs`, the time in which an agent that has an answer delivers it.
+[[nodiscard]] inline DrainGraceBudget divideDrainGrace(double graceMs, double minAnswerTimeoutMs) {
+    DrainGraceBudget budget;
+    budget.totalMs = graceMs;
+    budget.longPollMs = graceMs * 0.15;
+    budget.answerTimeoutMs = std::max(graceMs * 0.1, minAnswerTimeoutMs);
+    budget.maxRetryDelayMs = graceMs * 0.05;
+    budget.loopTurnMs = graceMs * 0.1;
+    return budget;
 }
 
 /// Shares of the time that a change may take where one service serves the list to all hosts, in ms.
@@ -87,13 +87,13 @@
     }
 };
 
-/// Divides the list propagation time `toldAfterMs` and the drain grace `graceMs`. `lateMs` is the answer
-/// timeout that the protocol allows. The 60 % for the retry delay limit worstCaseAfterReturnMs() and do not
-/// add to the other shares.
-[[nodiscard]] inline OnRequestListBudget divideOnRequestListTime(double toldAfterMs, double graceMs,
-                                                                 double lateMs) {
-    const double whole = toldAfterMs + graceMs;
-    return {whole, whole * 0.42, lateMs, whole * 0.07, whole * 0.6, whole * 0.05};
+/// Divides the list propagation time `propagationMs` and the drain grace `graceMs`. `answerTimeoutMs` is the
+/// answer timeout that the protocol allows. The 60 % for the retry delay limit worstCaseAfterReturnMs() and
+/// do not add to the other shares.
+[[nodiscard]] inline OnRequestListBudget divideOnRequestListTime(double propagationMs, double graceMs,
+                                                                 double answerTimeoutMs) {
+    const double totalMs = propagationMs + graceMs;
+    return {totalMs, totalMs * 0.42, answerTimeoutMs, totalMs * 0.07, totalMs * 0.6, totalMs * 0.05};
 }
 
 }  // namespace martencove
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -9,49 +9,49 @@
 namespace martencove {
 namespace {
 
-const char* nameOf(AttemptStatus ending) {
+const char* counterName(AttemptStatus status) {
     static constexpr const char* kNames[kAttemptStatusCount] = {
         "attempt_served",    "attempt_error",         "attempt_turned_away",
         "attempt_timed_out", "attempt_not_connected", "attempt_broken",
         "attempt_cancelled", "attempt_not_sent",      "attempt_spoilt"};
-    return kNames[static_cast<int>(ending)];
+    return kNames[static_cast<int>(status)];
 }
-const char* nameOf(AnswerStatus verdict) {
+const char* counterName(AnswerStatus status) {
     static constexpr const char* kNames[] = {"answer_served", "answer_refused", "answer_failed"};
-    return kNames[static_cast<int>(verdict)];
+    return kNames[static_cast<int>(status)];
 }
 
 }  // namespace
 
 Dispatcher::Dispatcher(SchedulerFacade& facade, const Clock& clock, const Limits& limits, Counters& counters,
-                       DispatcherCallbacks ports, const NodeList& known)
-    : facade_(facade), clock_(clock), limits_(limits), counters_(counters), callbacks_(std::move(ports)) {
+                       DispatcherCallbacks callbacks, const NodeList& known)
+    : facade_(facade), clock_(clock), limits_(limits), counters_(counters), callbacks_(std::move(callbacks)) {
     storeNodes(known);
 }
 
-bool Dispatcher::submit(const Request& request, std::shared_ptr<RequestHandler> job) {
+bool Dispatcher::submit(const Request& request, std::shared_ptr<RequestHandler> handler) {
     if (facade_.openRequestCount() >= limits_.maxOpenRequests || activeRequests_.contains(request.id))
         return false;
     counters_.add("request_taken");
-    ActiveRequest& held = activeRequests_[request.id];
-    held.handler = std::move(job);
-    held.planNo = request.planNo;
-    held.units = request.units;
-    countUnits("units_taken_plan_", held);
+    ActiveRequest& active = activeRequests_[request.id];
+    active.handler = std::move(handler);
+    active.planNo = request.planNo;
+    active.units = request.units;
+    countUnits("units_taken_plan_", active);
     execute(facade_.addRequest(nowMs(), request));
     return true;
 }
 
-void Dispatcher::attemptEnded(const RequestId& id, int attempt, AttemptStatus ending) {
-    const auto at = activeRequests_.find(id);
-    if (at == activeRequests_.end()) return;
-    const auto out = at->second.attemptsInFlight.find(attempt);
-    if (out == at->second.attemptsInFlight.end()) return;
-    const SentAttempt sent = out->second;
-    at->second.attemptsInFlight.erase(out);
-    counters_.add(nameOf(ending));
+void Dispatcher::attemptEnded(const RequestId& id, int attempt, AttemptStatus status) {
+    const auto it = activeRequests_.find(id);
+    if (it == activeRequests_.end()) return;
+    const auto sentAttempt = it->second.attemptsInFlight.find(attempt);
+    if (sentAttempt == it->second.attemptsInFlight.end()) return;
+    const SentAttempt sent = sentAttempt->second;
+    it->second.attemptsInFlight.erase(sentAttempt);
+    counters_.add(counterName(status));
     const double now = nowMs();
-    execute(facade_.handleEvent(now, AttemptOutcome{id, attempt, sent.node, ending, now - sent.sentMs}));
+    execute(facade_.handleEvent(now, AttemptOutcome{id, attempt, sent.node, status, now - sent.sentMs}));
     eraseIfFinished(id);
 }
 
@@ -77,17 +77,17 @@
     for (const NodeEntry& node : list.nodes)
         if (node.state != NodeState::ready) leaving.insert(node.id);
     if (leaving.empty()) return;
-    std::vector<AttemptId> back;
-    for (const auto& [id, held] : activeRequests_)
-        for (const auto& [number, out] : held.attemptsInFlight)
-            if (leaving.contains(out.node)) back.push_back({id, number});
-    for (const AttemptId& name : back) {
-        const auto at = activeRequests_.find(name.id);
-        if (at == activeRequests_.end() || !at->second.attemptsInFlight.contains(name.number)) continue;
-        const auto job = at->second.handler;  // keeps the handler alive during the call
-        if (!job->cancelIfUnsent(name.number)) continue;
+    std::vector<AttemptId> attemptIds;
+    for (const auto& [id, request] : activeRequests_)
+        for (const auto& [number, sentAttempt] : request.attemptsInFlight)
+            if (leaving.contains(sentAttempt.node)) attemptIds.push_back({id, number});
+    for (const AttemptId& attemptId : attemptIds) {
+        const auto it = activeRequests_.find(attemptId.id);
+        if (it == activeRequests_.end() || !it->second.attemptsInFlight.contains(attemptId.number)) continue;
+        const auto handler = it->second.handler;  // keeps the handler alive during the call
+        if (!handler->cancelIfUnsent(attemptId.number)) continue;
         counters_.add("attempt_withdrawn");
-        attemptEnded(name.id, name.number, AttemptStatus::notConnected);
+        attemptEnded(attemptId.id, attemptId.number, AttemptStatus::notConnected);
     }
 }
 
@@ -95,59 +95,62 @@
     execute(facade_.handleEvent(nowMs(), message));
 }
 
-void Dispatcher::shutDown(const ShutdownSchedule& moments) { execute(facade_.handleEvent(nowMs(), moments)); }
+void Dispatcher::shutDown(const ShutdownSchedule& schedule) {
+    execute(facade_.handleEvent(nowMs(), schedule));
+}
 
 void Dispatcher::tick() { execute(facade_.tick(nowMs())); }
 
 std::vector<NodeStatus> Dispatcher::nodeStatuses() const {
-    std::vector<NodeStatus> out = facade_.nodeStatuses();
-    for (NodeStatus& view : out) {
-        const auto known = nodes_.find(view.node.id);
-        if (known == nodes_.end()) continue;
-        view.node.name = known->second.name;
-        view.node.address = known->second.address;
+    std::vector<NodeStatus> statuses = facade_.nodeStatuses();
+    for (NodeStatus& status : statuses) {
+        const auto it = nodes_.find(status.node.id);
+        if (it == nodes_.end()) continue;
+        status.node.name = it->second.name;
+        status.node.address = it->second.address;
     }
-    return out;
+    return statuses;
 }
 
 // Executing actions can cause further events, for example an attempt that fails at once. The actions that
 // follow from these are queued instead of being executed recursively, so that the remaining actions of the
 // current set are executed first.
-void Dispatcher::execute(Actions todo) {
-    pendingActions_.push_back(std::move(todo));
+void Dispatcher::execute(Actions actions) {
+    pendingActions_.push_back(std::move(actions));
     if (executing_) return;
     executing_ = true;
     while (!pendingActions_.empty()) {
-        const Actions now = std::move(pendingActions_.front());
+        const Actions current = std::move(pendingActions_.front());
         pendingActions_.pop_front();
-        for (const Answer& answer : now.answers) {
-            counters_.add(nameOf(answer.status));
-            const auto at = activeRequests_.find(answer.id);
-            if (at == activeRequests_.end()) continue;
-            if (answer.status == AnswerStatus::served) countUnits("units_served_plan_", at->second);
-            const auto job = at->second.handler;  // keeps the handler alive during the call
-            job->sendAnswer(answer);
+        for (const Answer& answer : current.answers) {
+            counters_.add(counterName(answer.status));
+            const auto it = activeRequests_.find(answer.id);
+            if (it == activeRequests_.end()) continue;
+            if (answer.status == AnswerStatus::served) countUnits("units_served_plan_", it->second);
+            const auto handler = it->second.handler;  // keeps the handler alive during the call
+            handler->sendAnswer(answer);
             eraseIfFinished(answer.id);
         }
-        for (const AttemptId& name : now.cancellations) {
-            const auto at = activeRequests_.find(name.id);
-            if (at == activeRequests_.end() || !at->second.attemptsInFlight.contains(name.number)) continue;
-            at->second.handler->cancelAttempt(name.number);
-            attemptEnded(name.id, name.number, AttemptStatus::cancelled);
+        for (const AttemptId& attemptId : current.cancellations) {
+            const auto it = activeRequests_.find(attemptId.id);
+            if (it == activeRequests_.end() || !it->second.attemptsInFlight.contains(attemptId.number))
+                continue;
+            it->second.handler->cancelAttempt(attemptId.number);
+            attemptEnded(attemptId.id, attemptId.number, AttemptStatus::cancelled);
         }
-        for (const Attempt& attempt : now.attempts) execute(attempt);
-        for (const PeerMessage& message : now.peerMessages) callbacks_.sendToPeer(message);
-        for (const std::string& note : now.logMessages) callbacks_.writeLog(note);
+        for (const Attempt& attempt : current.attempts) execute(attempt);
+        for (const PeerMessage& message : current.peerMessages) callbacks_.sendToPeer(message);
+        for (const std::string& message : current.logMessages) callbacks_.writeLog(message);
     }
     executing_ = false;
-    const double next = facade_.nextTickMs();
-    if (std::isfinite(next)) callbacks_.scheduleTick(std::max(0.0, next - nowMs()));
+    const double nextTickMs = facade_.nextTickMs();
+    if (std::isfinite(nextTickMs)) callbacks_.scheduleTick(std::max(0.0, nextTickMs - nowMs()));
 }
 
 void Dispatcher::execute(const Attempt& attempt) {
-    const auto at = activeRequests_.find(attempt.id);
-    if (at == activeRequests_.end()) return;
-    at->second.attemptsInFlight[attempt.number] = {attempt.node, nowMs()};
+    const auto it = activeRequests_.find(attempt.id);
+    if (it == activeRequests_.end()) return;
+    it->second.attemptsInFlight[attempt.number] = {attempt.node, nowMs()};
     const auto node = nodes_.find(attempt.node);
     // The request may have been answered after this attempt was decided. The attempt is not sent then.
     if (node == nodes_.end() || !facade_.isOpen(attempt.id))
@@ -158,18 +161,19 @@
         return attemptEnded(attempt.id, attempt.number, AttemptStatus::notConnected);
     }
     counters_.add("attempt_sent");
-    const auto job = at->second.handler;
-    job->sendAttempt(attempt, node->second);
+    const auto handler = it->second.handler;
+    handler->sendAttempt(attempt, node->second);
 }
 
 void Dispatcher::eraseIfFinished(const RequestId& id) {
-    const auto at = activeRequests_.find(id);
-    if (at != activeRequests_.end() && at->second.attemptsInFlight.empty() && !facade_.isOpen(id))
-        activeRequests_.erase(at);
+    const auto it = activeRequests_.find(id);
+    if (it != activeRequests_.end() && it->second.attemptsInFlight.empty() && !facade_.isOpen(id))
+        activeRequests_.erase(it);
 }
 
-void Dispatcher::countUnits(const char* what, const ActiveRequest& held) {
-    counters_.add(what + std::to_string(held.planNo), static_cast<std::uint64_t>(std::llround(held.units)));
+void Dispatcher::countUnits(const char* counterPrefix, const ActiveRequest& request) {
+    counters_.add(counterPrefix + std::to_string(request.planNo),
+                  static_cast<std::uint64_t>(std::llround(request.units)));
 }
 
 // Erases nodes that are gone. Attempts still in flight there do not need the entry.
--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -44,13 +44,13 @@
 public:
     /// Starts with the nodes in `known`, which may be empty.
     Dispatcher(SchedulerFacade& facade, const Clock& clock, const Limits& limits, Counters& counters,
-               DispatcherCallbacks ports, const NodeList& known);
+               DispatcherCallbacks callbacks, const NodeList& known);
 
     /// Accepts a request and holds its handler until the request is finished. Returns false, and does not
     /// accept it, if a request with the same id is still active or Limits::maxOpenRequests are open.
-    [[nodiscard]] bool submit(const Request& request, std::shared_ptr<RequestHandler> job);
+    [[nodiscard]] bool submit(const Request& request, std::shared_ptr<RequestHandler> handler);
     /// Reports the end of an attempt. Called by handlers; ignored for attempts that are not in flight.
-    void attemptEnded(const RequestId& id, int attempt, AttemptStatus ending);
+    void attemptEnded(const RequestId& id, int attempt, AttemptStatus status);
     /// Reports that the client of a request disconnected. Ignored once the request is answered.
     void clientDisconnected(const RequestId& id);
     /// Applies an update of the list of nodes and cancels unsent attempts at nodes that leave.
@@ -60,7 +60,7 @@
     void tick();
     /// Shuts down by these points in time, whatever the deadlines of the requests. May be called again with
     /// earlier ones.
-    void shutDown(const ShutdownSchedule& moments);
+    void shutDown(const ShutdownSchedule& schedule);
     /// Releases all handlers at exit. Must be called before the objects that handlers use are destroyed.
     void releaseRequests() { activeRequests_.clear(); }
 
@@ -83,10 +83,10 @@
         double units = 0;
         std::unordered_map<int, SentAttempt> attemptsInFlight;
     };
-    void execute(Actions todo);
+    void execute(Actions actions);
     void execute(const Attempt& attempt);
     void eraseIfFinished(const RequestId& id);
-    void countUnits(const char* what, const ActiveRequest& held);
+    void countUnits(const char* counterPrefix, const ActiveRequest& request);
     void storeNodes(const NodeList& list);
     void cancelUnsentAttempts(const NodeList& list);
 
--- a/src/core/facade.cpp
+++ b/src/core/facade.cpp
@@ -6,7 +6,7 @@
 namespace martencove {
 namespace {
 
-limedrum::NodeListEvent listEvent(limedrum::NodeListKind kind, const NodeList& list) {
+limedrum::NodeListEvent toNodeListEvent(limedrum::NodeListKind kind, const NodeList& list) {
     limedrum::NodeListEvent event{kind, {}};
     for (const NodeEntry& node : list.nodes) {
         const auto state = node.state == NodeState::ready      ? limedrum::NodeState::serving
@@ -17,8 +17,8 @@
     return event;
 }
 
-limedrum::Outcome outcomeOf(AttemptStatus ending) {
-    switch (ending) {
+limedrum::Outcome toSchedulerOutcome(AttemptStatus status) {
+    switch (status) {
         case AttemptStatus::served:
             return limedrum::Outcome::done;
         case AttemptStatus::error:
@@ -45,55 +45,58 @@
 SchedulerFacade::SchedulerFacade(limedrum::Settings settings, std::uint64_t seed, double nowMs,
                                  const NodeList& known)
     : scheduler_(std::move(settings), seed, nowMs) {
-    (void)runScheduler(nowMs, listEvent(limedrum::NodeListKind::restored, known));
+    (void)runScheduler(nowMs, toNodeListEvent(limedrum::NodeListKind::restored, known));
 }
 
-Actions SchedulerFacade::addRequest(double nowMs, const Request& r) {
-    openRequests_.emplace(r.id, 0);
-    return runScheduler(nowMs, limedrum::RequestEvent{r.id, r.classNo, r.planNo, r.piece, r.volume,
-                                                      r.expiresMs, r.units, r.shard, r.hostsOfVolume});
+Actions SchedulerFacade::addRequest(double nowMs, const Request& request) {
+    openRequests_.emplace(request.id, 0);
+    return runScheduler(nowMs, limedrum::RequestEvent{request.id, request.classNo, request.planNo,
+                                                      request.piece, request.volume, request.expiresMs,
+                                                      request.units, request.shard, request.hostsOfVolume});
 }
 
-Actions SchedulerFacade::handleEvent(double nowMs, const AttemptOutcome& o) {
-    const bool first = o.status == AttemptStatus::served && openRequests_.erase(o.id) > 0;
-    Actions todo =
-        runScheduler(nowMs, limedrum::OutcomeEvent{.id = o.id,
-                                                   .attempt = o.attempt,
-                                                   .node = o.node,
-                                                   .outcome = outcomeOf(o.status),
-                                                   .durationMs = o.durationMs,
-                                                   .requestFinished = !openRequests_.contains(o.id)});
-    if (first) todo.answers.insert(todo.answers.begin(), {o.id, AnswerStatus::served, 0});
-    return todo;
+Actions SchedulerFacade::handleEvent(double nowMs, const AttemptOutcome& outcome) {
+    const bool answersRequest =
+        outcome.status == AttemptStatus::served && openRequests_.erase(outcome.id) > 0;
+    Actions actions =
+        runScheduler(nowMs, limedrum::OutcomeEvent{.id = outcome.id,
+                                                   .attempt = outcome.attempt,
+                                                   .node = outcome.node,
+                                                   .outcome = toSchedulerOutcome(outcome.status),
+                                                   .durationMs = outcome.durationMs,
+                                                   .requestFinished = !openRequests_.contains(outcome.id)});
+    if (answersRequest)
+        actions.answers.insert(actions.answers.begin(), {outcome.id, AnswerStatus::served, 0});
+    return actions;
 }
 
-Actions SchedulerFacade::handleEvent(double nowMs, const RequestId& gone) {
-    if (openRequests_.erase(gone) == 0) return {};
-    return runScheduler(nowMs, limedrum::RequestAbandonedEvent{gone});
+Actions SchedulerFacade::handleEvent(double nowMs, const RequestId& id) {
+    if (openRequests_.erase(id) == 0) return {};
+    return runScheduler(nowMs, limedrum::RequestAbandonedEvent{id});
 }
 
 Actions SchedulerFacade::handleEvent(double nowMs, const NodeList& list) {
     return runScheduler(
-        nowMs,
-        listEvent(list.isSnapshot ? limedrum::NodeListKind::full : limedrum::NodeListKind::update, list));
+        nowMs, toNodeListEvent(
+                   list.isSnapshot ? limedrum::NodeListKind::full : limedrum::NodeListKind::update, list));
 }
 
 Actions SchedulerFacade::handleEvent(double nowMs, const PeerMessage& message) {
     return runScheduler(nowMs, limedrum::PeerMessageEvent{message.peer, message.text});
 }
 
-Actions SchedulerFacade::handleEvent(double nowMs, const ShutdownSchedule& moments) {
-    return runScheduler(nowMs, limedrum::ShutdownEvent{moments.firstAttemptUntilMs,
-                                                       moments.furtherAttemptUntilMs, moments.answerByMs});
+Actions SchedulerFacade::handleEvent(double nowMs, const ShutdownSchedule& schedule) {
+    return runScheduler(nowMs, limedrum::ShutdownEvent{schedule.firstAttemptUntilMs,
+                                                       schedule.furtherAttemptUntilMs, schedule.answerByMs});
 }
 
 Actions SchedulerFacade::tick(double nowMs) {
-    std::vector<limedrum::Event> due;
+    std::vector<limedrum::Event> dueEvents;
     while (!timers_.empty() && timers_.begin()->first <= nowMs) {
-        due.push_back(limedrum::TimerFiredEvent{timers_.begin()->second});
+        dueEvents.push_back(limedrum::TimerFiredEvent{timers_.begin()->second});
         timers_.erase(timers_.begin());
     }
-    return toActions(nowMs, scheduler_.handle(nowMs, due));
+    return toActions(nowMs, scheduler_.handle(nowMs, dueEvents));
 }
 
 double SchedulerFacade::nextTickMs() const {
@@ -101,15 +104,19 @@
 }
 
 std::vector<NodeStatus> SchedulerFacade::nodeStatuses() const {
-    std::vector<NodeStatus> out;
-    for (const limedrum::NodeStatus& seen : scheduler_.nodeStatuses()) {
-        NodeStatus view{{}, seen.receivesNewWork, seen.unresponsive, seen.unitsPerSecond};
-        view.node.id = seen.node;
-        view.node.shard = seen.shard;
-        view.node.state = seen.state == limedrum::NodeState::serving ? NodeState::ready : NodeState::draining;
-        out.push_back(view);
+    std::vector<NodeStatus> statuses;
+    for (const limedrum::NodeStatus& schedulerStatus : scheduler_.nodeStatuses()) {
+        NodeStatus status{{},
+                          schedulerStatus.receivesNewWork,
+                          schedulerStatus.unresponsive,
+                          schedulerStatus.unitsPerSecond};
+        status.node.id = schedulerStatus.node;
+        status.node.shard = schedulerStatus.shard;
+        status.node.state =
+            schedulerStatus.state == limedrum::NodeState::serving ? NodeState::ready : NodeState::draining;
+        statuses.push_back(status);
     }
-    return out;
+    return statuses;
 }
 
 Actions SchedulerFacade::runScheduler(double nowMs, limedrum::Event event) {
@@ -117,32 +124,32 @@
 }
 
 Actions SchedulerFacade::toActions(double nowMs, const std::vector<limedrum::Action>& actions) {
-    Actions todo;
+    Actions result;
     // Answers each request once, even if the scheduler returns further actions for it.
-    const auto end = [&](const RequestId& id, AnswerStatus verdict, double retryAfterMs) {
-        if (openRequests_.erase(id) > 0) todo.answers.push_back({id, verdict, retryAfterMs});
+    const auto addFinalAnswer = [&](const RequestId& id, AnswerStatus status, double retryAfterMs) {
+        if (openRequests_.erase(id) > 0) result.answers.push_back({id, status, retryAfterMs});
     };
     for (const limedrum::Action& action : actions) {
         if (const auto* send = std::get_if<limedrum::SendAttempt>(&action)) {
-            const auto at = openRequests_.find(send->id);
-            if (at != openRequests_.end())
-                todo.attempts.push_back(
-                    {send->id, at->second++, send->node, {send->timeoutMs, send->lastByteWithinMs}});
+            const auto it = openRequests_.find(send->id);
+            if (it != openRequests_.end())
+                result.attempts.push_back(
+                    {send->id, it->second++, send->node, {send->timeoutMs, send->lastByteWithinMs}});
         } else if (const auto* cancel = std::get_if<limedrum::CancelAttempt>(&action)) {
-            todo.cancellations.push_back({cancel->id, cancel->attempt});
+            result.cancellations.push_back({cancel->id, cancel->attempt});
         } else if (const auto* refuse = std::get_if<limedrum::RefuseRequest>(&action)) {
-            end(refuse->id, AnswerStatus::refused, refuse->retryAfterMs);
+            addFinalAnswer(refuse->id, AnswerStatus::refused, refuse->retryAfterMs);
         } else if (const auto* fail = std::get_if<limedrum::FailRequest>(&action)) {
-            end(fail->id, AnswerStatus::failed, 0);
+            addFinalAnswer(fail->id, AnswerStatus::failed, 0);
         } else if (const auto* timer = std::get_if<limedrum::SetTimer>(&action)) {
             timers_.emplace(nowMs + timer->afterMs, timer->token);
-        } else if (auto* tell = std::get_if<limedrum::SendPeerMessage>(&action)) {
-            todo.peerMessages.push_back({tell->peer, tell->text});
+        } else if (auto* peerMessage = std::get_if<limedrum::SendPeerMessage>(&action)) {
+            result.peerMessages.push_back({peerMessage->peer, peerMessage->text});
         } else if (const auto* log = std::get_if<limedrum::LogMessage>(&action)) {
-            todo.logMessages.push_back(log->text);
+            result.logMessages.push_back(log->text);
         }
     }
-    return todo;
+    return result;
 }
 
 }  // namespace martencove
--- a/src/core/facade.h
+++ b/src/core/facade.h
@@ -27,13 +27,13 @@
     /// Handles the end of an attempt.
     [[nodiscard]] Actions handleEvent(double nowMs, const AttemptOutcome& outcome);
     /// Handles the disconnect of a request's client, which gets no answer any more.
-    [[nodiscard]] Actions handleEvent(double nowMs, const RequestId& gone);
+    [[nodiscard]] Actions handleEvent(double nowMs, const RequestId& id);
     /// Handles an update of the list of nodes.
     [[nodiscard]] Actions handleEvent(double nowMs, const NodeList& list);
     /// Handles a message from another host.
     [[nodiscard]] Actions handleEvent(double nowMs, const PeerMessage& message);
     /// Shuts down by these points in time.
-    [[nodiscard]] Actions handleEvent(double nowMs, const ShutdownSchedule& moments);
+    [[nodiscard]] Actions handleEvent(double nowMs, const ShutdownSchedule& schedule);
     /// Replaces the settings. Open requests keep their classes and attempts. Throws std::invalid_argument and
     /// changes nothing if the settings are invalid.
     void updateSettings(limedrum::Settings settings) { scheduler_.updateSettings(std::move(settings)); }
--- a/src/settings_json/fields.h
+++ b/src/settings_json/fields.h
@@ -1,7 +1,7 @@
 // Typed access to the fields of JSON objects. Errors name the field.
 //
 // All functions throw FieldError if a field is missing or has the wrong type. The functions with a parameter
-// `otherwise` return it if the field is missing or null.
+// `defaultValue` return it if the field is missing or null.
 #pragma once
 
 #include <limedrum/scheduler.h>
@@ -23,8 +23,8 @@
     using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] inline void throwFieldError(const std::string& field, const std::string& what) {
-    throw FieldError(field + ": " + what);
+[[noreturn]] inline void throwFieldError(const std::string& field, const std::string& problem) {
+    throw FieldError(field + ": " + problem);
 }
 
 /// Returns the field, or null if it is missing or null. Throws FieldError if `object` is not an object.
@@ -51,15 +51,15 @@
 }
 /// Throws FieldError if the value does not fit into 32 bits.
 inline int getInt(const Json& value, const char* name) {
-    const std::int64_t wide = getInt64(value, name);
-    if (wide < INT32_MIN || wide > INT32_MAX) throwFieldError(name, "out of range");
-    return static_cast<int>(wide);
+    const std::int64_t number = getInt64(value, name);
+    if (number < INT32_MIN || number > INT32_MAX) throwFieldError(name, "out of range");
+    return static_cast<int>(number);
 }
 /// Throws FieldError if the value does not fit into 32 bits or is negative.
 inline NodeId getNodeId(const Json& value, const char* name) {
-    const std::int64_t wide = getInt64(value, name);
-    if (wide < 0 || wide > UINT32_MAX) throwFieldError(name, "out of range");
-    return static_cast<NodeId>(wide);
+    const std::int64_t number = getInt64(value, name);
+    if (number < 0 || number > UINT32_MAX) throwFieldError(name, "out of range");
+    return static_cast<NodeId>(number);
 }
 inline bool getBool(const Json& value, const char* name) {
     if (!value.is_boolean()) throwFieldError(name, "not a boolean");
@@ -75,21 +75,21 @@
 }
 
 // Optional fields of an object.
-inline double getNumber(const Json& object, const char* name, double otherwise) {
+inline double getNumber(const Json& object, const char* name, double defaultValue) {
     const Json* value = findField(object, name);
-    return value == nullptr ? otherwise : getNumber(*value, name);
+    return value == nullptr ? defaultValue : getNumber(*value, name);
 }
-inline int getInt(const Json& object, const char* name, int otherwise) {
+inline int getInt(const Json& object, const char* name, int defaultValue) {
     const Json* value = findField(object, name);
-    return value == nullptr ? otherwise : getInt(*value, name);
+    return value == nullptr ? defaultValue : getInt(*value, name);
 }
-inline bool getBool(const Json& object, const char* name, bool otherwise) {
+inline bool getBool(const Json& object, const char* name, bool defaultValue) {
     const Json* value = findField(object, name);
-    return value == nullptr ? otherwise : getBool(*value, name);
+    return value == nullptr ? defaultValue : getBool(*value, name);
 }
-inline std::string getString(const Json& object, const char* name, const std::string& otherwise) {
+inline std::string getString(const Json& object, const char* name, const std::string& defaultValue) {
     const Json* value = findField(object, name);
-    return value == nullptr ? otherwise : getString(*value, name);
+    return value == nullptr ? defaultValue : getString(*value, name);
 }
 /// Returns the field, or an empty object if it is missing or null.
 inline const Json& getObject(const Json& object, const char* name) {
@@ -100,14 +100,14 @@
     return *value;
 }
 
-/// Returns the value whose spelling is `given`. Throws FieldError naming the field `name` if there is none.
+/// Returns the value whose spelling is `text`. Throws FieldError naming the field `name` if there is none.
 template <typename Value>
-Value parseEnum(const std::string& given, const char* name,
-                std::initializer_list<std::pair<const char*, Value>> known) {
-    for (const auto& [spelling, value] : known) {
-        if (given == spelling) return value;
+Value parseEnum(const std::string& text, const char* name,
+                std::initializer_list<std::pair<const char*, Value>> values) {
+    for (const auto& [spelling, value] : values) {
+        if (text == spelling) return value;
     }
-    throwFieldError(name, "unknown word '" + given + "'");
+    throwFieldError(name, "unknown word '" + text + "'");
 }
 
 }  // namespace limedrum::fields
--- a/src/settings_json/retune.h
+++ b/src/settings_json/retune.h
@@ -6,15 +6,15 @@
 
 namespace limedrum {
 
-/// Returns `next` with the class numbers of `now`. An unchanged class keeps its number. A new or changed
+/// Returns `next` with the class numbers of `current`. An unchanged class keeps its number. A new or changed
 /// class gets another number; the old one is retired but keeps its rules for the requests that refer to it.
 /// Plans must keep their order, since hosts exchange plan numbers; new ones may follow at the end. Throws
 /// fields::FieldError if the settings cannot be merged.
-[[nodiscard]] ProgramSettings mergeSettings(const ProgramSettings& now, ProgramSettings next);
+[[nodiscard]] ProgramSettings mergeSettings(const ProgramSettings& current, ProgramSettings next);
 
-/// Throws fields::FieldError, with the path of the key, if `next` lacks a key that `now` has, which shows
-/// that the file is incomplete. Each element of an array must have the keys that all elements in `now` share.
-/// `at` is the path of the two values.
-void requireKeys(const nlohmann::json& now, const nlohmann::json& next, const std::string& at = "");
+/// Throws fields::FieldError, with the path of the key, if `next` lacks a key that `current` has, which shows
+/// that the file is incomplete. Each element of an array must have the keys that all elements in `current`
+/// share. `path` is the path of the two values.
+void requireKeys(const nlohmann::json& current, const nlohmann::json& next, const std::string& path = "");
 
 }  // namespace limedrum
