--- a/src/core/discovery_timing.h
+++ b/src/core/discovery_timing.h
@@ -34,9 +34,9 @@
     /// Returns how many more calls may fail within the grace, at most kMaxToleratedFailures; -1 if the grace
     /// is too short even for the first call after the unanswered one.
     [[nodiscard]] int toleratedFailures() const {
-        int failed = -1;
-        while (failed < kMaxToleratedFailures && worstCaseMs(failed + 1) <= totalMs) ++failed;
-        return failed;
+        int failures = -1;
+        while (failures < kMaxToleratedFailures && worstCaseMs(failures + 1) <= totalMs) ++failures;
+        return failures;
     }
     static constexpr int kMaxToleratedFailures = 100;
 };
--- a/src/settings_json/retune.h
+++ b/src/settings_json/retune.h
@@ -7,7 +7,8 @@
 namespace limedrum {
 
 /// Returns `next` with the class numbers of `current`. An unchanged class keeps its number. A new or changed
-/// class gets another number; the old one is retired but keeps its rules for the requests that refer to it.
+/// class gets the number of a retired class with the same rules, or a new number. Dropped and changed classes
+/// are retired, but their numbers keep the old rules for the requests that refer to them.
 /// Plans must keep their order, since hosts exchange plan numbers; new ones may follow at the end. Throws
 /// fields::FieldError if the settings cannot be merged.
 [[nodiscard]] ProgramSettings mergeSettings(const ProgramSettings& current, ProgramSettings next);
