--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -21,8 +21,9 @@
 namespace martencove {
 namespace {
 
-/// Reads what a client has sent before its turn, up to `most` bytes, into the buffers out of which evhttp
-/// takes the next request: a close shows only behind it. False: the client has gone.
+/// Reads what a client has sent behind the request in work, until `most` bytes are in the buffer from which
+/// evhttp takes the next request. The client's close can be seen only behind these bytes. Returns false if
+/// the client has disconnected.
 bool readEarly(bufferevent* socket, std::size_t most) {
     const evutil_socket_t fd = bufferevent_getfd(socket);
     evbuffer* input = bufferevent_get_input(socket);
@@ -31,22 +32,22 @@
         const ssize_t got = recv(fd, some, sizeof some, MSG_DONTWAIT);
         if (got == 0) return false;
         if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-        evbuffer_unfreeze(input, 0);  // libevent keeps the end to its own reads
+        evbuffer_unfreeze(input, 0);  // libevent allows only its own reads to append
         evbuffer_add(input, some, static_cast<std::size_t>(got));
         evbuffer_freeze(input, 0);
     }
-    pollfd look{fd, POLLRDHUP, 0};  // the rest stays with the system, and a close behind it too
+    pollfd look{fd, POLLRDHUP, 0};  // with bytes left in the kernel, a close shows as POLLRDHUP
     return poll(&look, 1, 0) <= 0 || (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0;
 }
 
 }  // namespace
 
-/// A request of a client, until its answer is handed to its connection or the client is gone.
+/// Handles one client request until its answer is handed to the connection or the client has disconnected.
 class HttpRequestHandler final : public RequestHandler {
 public:
     HttpRequestHandler(HttpFront& front, evhttp_request* request, DecodedRequest message)
         : front_(front), request_(request), decodedRequest_(std::move(message)) {
-        // evhttp does not read while a request is in work, so the client's close must be looked for.
+        // evhttp does not read while a request is in work, so the client's close has to be detected here.
         disconnectWatch_.reset(
             event_new(front.base_, bufferevent_getfd(clientBufferevent()), EV_READ, onClientReadable, this));
         event_add(disconnectWatch_.get(), nullptr);
@@ -67,7 +68,7 @@
             ResponseStream::Callbacks{
                 [this, number] { return streamStarted(number); },
                 [this, number](NodeReply reply) { attemptEnded(number, std::move(reply)); }});
-        // An older client could not tell a long answer that breaks from one that ends.
+        // No streaming to HTTP/1.0 clients: they cannot tell a truncated answer from a complete one.
         if (request_ != nullptr && request_->major == 1 && request_->minor >= 1) request.sink = stream.get();
         if (!address || !stream->startAttempt(*address, request, attempt.timeouts))
             return front_.dispatcher_.attemptEnded(id(), number, AttemptStatus::notConnected);
@@ -78,8 +79,8 @@
 
     bool cancelIfUnsent(int attempt) override { return eraseIfUnsent(streams_, attempt); }
 
-    /// A long answer begins. To the decisions the request is served: what comes is the connection's matter.
-    /// Whether it goes on.
+    /// Called when a long response begins. The dispatcher counts the request as served, so that no further
+    /// attempt is made; the client's connection takes over the stream. Returns whether the stream goes on.
     bool streamStarted(int attempt) {
         const auto at = streams_.find(attempt);
         startedStream_ = std::move(at->second);
@@ -89,7 +90,7 @@
         evhttp_connection* connection =
             request_ == nullptr ? nullptr : evhttp_request_get_connection(request_);
         front.dispatcher_.attemptEnded(RequestId(id()), attempt,
-                                       AttemptStatus::served);  // the last of this job
+                                       AttemptStatus::served);  // may free this object
         const auto client = front.connections_.find(connection);
         return client != front.connections_.end() && client->second.stream.get() == stream;
     }
@@ -132,17 +133,18 @@
         }
     }
 
-    /// The client's connection is closing.
+    /// Called when the client's connection is being closed.
     void clientDisconnected() {
         evhttp_request* request = detachRequest();
-        // evhttp has let go of a request whose connection broke by itself.
+        // evhttp has detached a request whose connection broke by itself; it has to be freed here.
         if (request != nullptr && evhttp_request_get_connection(request) == nullptr)
             evhttp_request_free(request);
         front_.dispatcher_.clientDisconnected(id());
     }
 
 private:
-    /// Takes the request from the connection's care.
+    /// Ends the handler's use of the request and marks its connection as no longer busy. Returns null if that
+    /// has been done before.
     evhttp_request* detachRequest() {
         disconnectWatch_.reset();
         evhttp_request* request = std::exchange(request_, nullptr);
@@ -163,7 +165,7 @@
         auto* self = static_cast<HttpRequestHandler*>(arg);
         const std::size_t most = self->front_.limits_.maxReadAheadBytes;
         if (readEarly(self->clientBufferevent(), most)) {
-            // Of one that has sent more than is read now, looked at again and again instead.
+            // With the buffer full the socket would stay readable, so it is checked by a timer instead.
             const bool full = evbuffer_get_length(bufferevent_get_input(self->clientBufferevent())) >= most;
             if (full)
                 event_assign(self->disconnectWatch_.get(), self->front_.base_, -1, 0, onClientReadable, self);
@@ -171,7 +173,7 @@
             event_add(self->disconnectWatch_.get(), full ? &soon : nullptr);
             return;
         }
-        // Closes the connection, and with it frees the request.
+        // Closing the connection also frees the request.
         evhttp_connection* connection = evhttp_request_get_connection(self->request_);
         const RequestId id = self->id();
         Dispatcher& dispatcher = self->front_.dispatcher_;
@@ -181,31 +183,31 @@
     }
 
     HttpFront& front_;
-    evhttp_request* request_;  // null: answered, or the client is gone
+    evhttp_request* request_;  // null: answered, or the client has disconnected
     DecodedRequest decodedRequest_;
     NodeReply servedReply_;
-    std::map<int, std::unique_ptr<ResponseStream>> streams_;  // by attempt
-    std::unique_ptr<ResponseStream> startedStream_;           // whose long answer is about to go on
+    std::map<int, std::unique_ptr<ResponseStream>> streams_;  // by attempt number
+    std::unique_ptr<ResponseStream> startedStream_;           // of a long response that has begun
     LibeventPtr<event> disconnectWatch_;
 };
 
 namespace {
 
-/// Whether bytes have come that nobody has read: a request, perhaps, that a close would lose.
+/// Returns whether the socket has unread bytes. They may be a request, which closing the socket would lose.
 bool unread(bufferevent* socket) {
     int waiting = 0;
     return ioctl(bufferevent_getfd(socket), FIONREAD, &waiting) != 0 || waiting > 0;
 }
 
-/// The same, or it has been read and not taken.
+/// Returns whether the socket has unread bytes, or the input buffer has bytes that were not processed.
 bool hasInput(bufferevent* socket) {
     return unread(socket) || evbuffer_get_length(bufferevent_get_input(socket)) > 0;
 }
 
-/// Whether an answer has not been written whole.
+/// Returns whether output is still to be written.
 bool hasOutput(bufferevent* socket) { return evbuffer_get_length(bufferevent_get_output(socket)) > 0; }
 
-/// Whether evhttp ends the connection once the request's answer is written.
+/// Returns whether evhttp closes the connection once the request's answer is written.
 bool endsWithAnswer(evhttp_request* request) {
     const auto says = [](evkeyvalq* headers, const char* word) {
         const char* value = evhttp_find_header(headers, "Connection");
@@ -217,13 +219,13 @@
            (old && !says(asked, "keep-alive"));
 }
 
-/// Ends a connection as evhttp does where its time is out: at once. After a shutdown it would first read, and
-/// take, a request that comes in that moment, and could not answer it.
+/// Closes a connection at once by firing its read timeout. After a plain shutdown of the socket evhttp would
+/// first read and accept a request that arrives in that moment, and could not answer it.
 void timeOut(bufferevent* socket) {
     bufferevent_trigger_event(socket, BEV_EVENT_READING | BEV_EVENT_TIMEOUT, 0);
 }
 
-/// Whether a connection waits to be accepted.
+/// Returns whether a connection waits to be accepted.
 bool connectionWaits(evutil_socket_t listener) {
     pollfd look{listener, POLLIN, 0};
     return poll(&look, 1, 0) > 0;
@@ -246,7 +248,7 @@
     auto* self = static_cast<InputTracker*>(arg);
     if (info->n_added == 0) return;
     self->requestStarted = true;
-    // What still comes after evhttp's end of the connection is nobody's: no more is read.
+    // Nothing processes what arrives after evhttp has closed the connection, so reading stops.
     if (closedByEvhttp(self->buffers)) bufferevent_disable(self->buffers, EV_READ);
 }
 
@@ -254,7 +256,7 @@
     return !requestStarted && !hasInput(buffers) && !hasOutput(buffers);
 }
 
-// What waits unread may be the rest: that is for evhttp to read first.
+// Unread bytes may complete the request, so evhttp has to read them first.
 bool HttpFront::InputTracker::hasPartialRequest() const {
     const bool come = requestStarted || evbuffer_get_length(bufferevent_get_input(buffers)) > 0;
     return come && !unread(buffers) && !hasOutput(buffers);
@@ -287,7 +289,7 @@
 
 HttpFront::~HttpFront() = default;
 
-// Where another process has the listener too, it takes what waits there.
+// If another process shares the listener, that one accepts the waiting connections.
 bool HttpFront::closeListener(bool atOnce) {
     if (boundSocket_ == nullptr) return true;
     if (!atOnce && !listenerYielded_ && connectionWaits(listenerFd())) {
@@ -338,7 +340,7 @@
     for (const auto& [connection, client] : connections_) {
         bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
         evbuffer* output = bufferevent_get_output(buffers);
-        evbuffer_unfreeze(output, 1);  // libevent keeps the front to its own writes
+        evbuffer_unfreeze(output, 1);  // libevent allows only its own writes to remove
         while (evbuffer_get_length(output) > 0 && evbuffer_write(output, bufferevent_getfd(buffers)) > 0) {
         }
         evbuffer_freeze(output, 1);
@@ -370,7 +372,7 @@
         if (unheard.acceptedAtMs <= before && !unread(buffers))
             silent.emplace_back(unheard.acceptedAtMs, buffers);
     }
-    // One that goes on with pieces of a request for longer than evhttp's time-out between them is no better.
+    // This includes clients that send a request piece by piece: each piece restarts evhttp's own timeout.
     for (const auto& [connection, client] : connections_) {
         bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
         if (!client.isBusy() && client.lastUsedMs <= before - limits_.clientIdleTimeoutMs && !unread(buffers))
@@ -384,7 +386,7 @@
 }
 
 bool HttpFront::atConnectionLimit() const {
-    const int fd = fcntl(STDERR_FILENO, F_DUPFD_CLOEXEC, 0);  // the lowest that is free
+    const int fd = fcntl(STDERR_FILENO, F_DUPFD_CLOEXEC, 0);  // the lowest free descriptor
     if (fd >= 0) ::close(fd);
     return fd < 0 || static_cast<std::size_t>(fd) + limits_.reservedDescriptors >= limits_.maxDescriptors ||
            connectionCount() + lingeringCloses_.size() >= limits_.maxClientConnections;
@@ -424,8 +426,8 @@
     connectionCheckTimer_.start(0);
 }
 
-// At the bound silent connections make room, then those idle longest, and new ones wait in the listener's
-// queue meanwhile; requests on those there are still come.
+// At the connection limit silent connections are closed first, then those idle longest. Meanwhile new
+// connections wait in the listener's queue, and requests on the open connections are still served.
 void HttpFront::checkConnections() {
     closeSilentConnections(newConnections_.size() + connections_.size(), limits_.firstRequestTimeoutMs);
     if (atConnectionLimit()) {
@@ -447,7 +449,7 @@
     bufferevent* buffers = held.get();
     self->newConnections_[buffers] = {std::move(held), self->dispatcher_.nowMs(),
                                       std::make_unique<InputTracker>(buffers)};
-    if (self->atConnectionLimit()) {  // before the next one in the queue is taken
+    if (self->atConnectionLimit()) {  // before the next connection is accepted
         self->setAccepting(false);
         self->connectionCheckTimer_.start(0);
     }
@@ -462,7 +464,7 @@
     evhttp_request* passing = at->second.stream ? at->second.stream->request() : nullptr;
     if (at->second.lingerOnClose) self->lingeringCloses_.add(std::move(at->second.buffers));
     self->connections_.erase(at);
-    // evhttp has let go of a request whose connection broke by itself.
+    // evhttp has detached a request whose connection broke by itself; it has to be freed here.
     if (passing != nullptr && evhttp_request_get_connection(passing) == nullptr) evhttp_request_free(passing);
     if (job != nullptr) job->clientDisconnected();
 }
@@ -481,14 +483,14 @@
         evhttp_connection_set_closecb(connection, onConnectionClosed, this);
         bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
         auto unheard =
-            newConnections_.extract(buffers);  // none if accepted() had no memory for buffers of its own
+            newConnections_.extract(buffers);  // empty if onAccept() could not allocate a bufferevent
         client->second.input =
             unheard ? std::move(unheard.mapped().input) : std::make_unique<InputTracker>(buffers);
         if (unheard) client->second.buffers = std::move(unheard.mapped().buffers);
         setTcpNoDelay(bufferevent_getfd(buffers));
     }
     client->second.lingerOnClose = false;
-    // What came behind it in the same bytes is the begin of the next one.
+    // Bytes behind this request are the beginning of the next one.
     const evbuffer* input = bufferevent_get_input(evhttp_connection_get_bufferevent(connection));
     client->second.input->requestStarted = evbuffer_get_length(input) > 0;
     std::string wrong;
@@ -501,7 +503,7 @@
         return sendReply(request, 200, "OK", page->second());
     auto message = decodeRequest(request, settings_, dispatcher_.nowMs(), wrong);
     if (!message) return rejectMalformed(request, wrong);
-    // The next request of one that sends several at once may come when it has gone.
+    // A client that pipelines requests may have disconnected by the time its next one is taken.
     if (!readEarly(evhttp_connection_get_bufferevent(connection), limits_.maxReadAheadBytes)) {
         dispatcher_.counters().add("client_gone_untaken");
         evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
@@ -511,12 +513,12 @@
     const auto job = std::make_shared<HttpRequestHandler>(*this, request, std::move(*message));
     client->second.handler = job.get();
     if (dispatcher_.submit(decoded, job)) return;
-    // Never in the dispatcher's hands: turned away without a trace.
+    // The dispatcher has not accepted the request and keeps no state of it.
     dispatcher_.counters().add("request_not_taken");
     job->sendAnswer({decoded.id, AnswerStatus::refused, limits_.overloadRetryAfterMs});
 }
 
-// What follows on such a connection may be no request at all: it ends with the answer.
+// What follows a malformed request may not be a request at all, so the connection is closed after the answer.
 void HttpFront::rejectMalformed(evhttp_request* request, const std::string& wrong) {
     dispatcher_.counters().add("request_malformed");
     log_.warn("client", "malformed request", {{"reason", wrong}});
@@ -525,13 +527,14 @@
 }
 
 bool HttpFront::shouldCloseConnections() const {
-    // Near the bound a connection that rests is one that another client cannot have.
+    // Near the connection limit an idle connection takes the place of another client.
     return draining_ || listenerYielded_ || evacuating() ||
            connectionCount() > limits_.maxKeepAliveConnections;
 }
 
-// What has come behind the request would be lost with its connection: it has its answer first. Of a client
-// that goes on and on, the answer that ends its connection says that what follows was not taken.
+// Closing would lose pipelined requests that have arrived behind this one, so these are answered first, at
+// most `maxRequestsWhileClosing` of them. To a client that keeps sending, "Connection: close" says that what
+// follows was not processed.
 void HttpFront::decideConnectionClose(evhttp_request* request) {
     evhttp_connection* connection = evhttp_request_get_connection(request);
     const auto at = connections_.find(connection);
@@ -554,7 +557,7 @@
     evhttp_send_reply(request, code, reason, nullptr);
 }
 
-// A client that has been told of more than comes, or of chunks without a last one, knows that it broke.
+// The client detects a truncated answer by the missing bytes of Content-Length or by the missing last chunk.
 void HttpFront::streamDone(evhttp_connection* connection, bool whole) {
     const auto client = connections_.find(connection);
     if (client == connections_.end()) return;
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -1,4 +1,5 @@
-// The platform's front: clients' requests over HTTP/1.1, to the dispatcher and back.
+// The HTTP front: accepts clients' requests over HTTP/1.1, passes them to the dispatcher and sends the
+// answers.
 #pragma once
 
 #include <functional>
@@ -18,45 +19,50 @@
 
 class HttpRequestHandler;
 
+/// The HTTP server for clients. It also serves /healthz, /counters and further text pages.
 class HttpFront {
 public:
-    /// Throws std::runtime_error where `listen` cannot be bound.
-    /// `listener`: a socket that listens there already; -1: it binds one.
+    /// `listener`: a socket that already listens at `listen`; -1: binds a new one. Throws std::runtime_error
+    /// if `listen` cannot be bound.
     HttpFront(event_base* base, const Address& listen, Dispatcher& dispatcher, HttpNodeConnectionPool& pool,
               const limedrum::ProgramSettings& site, const Limits& limits, Log& log, int listener = -1);
     ~HttpFront();
     HttpFront(const HttpFront&) = delete;
     HttpFront& operator=(const HttpFront&) = delete;
 
-    /// Answers a GET of `path` with a text, as /counters does.
+    /// Serves the result of `text` at `path`, as /counters does.
     void addTextPage(const std::string& path, std::function<std::string()> text) {
         pages_[path] = std::move(text);
     }
-    /// GET /healthz answers 503 until `ready` says yes.
+    /// GET /healthz answers 503 while `ready` returns false.
     void setReadinessCheck(std::function<bool()> ready) { readinessCheck_ = std::move(ready); }
-    /// Another process takes the new connections of the socket that both have, or no longer: each answer here
-    /// ends its connection.
+    /// `on`: another process accepts the connections of the shared listening socket. This one stops
+    /// accepting, and each answer closes its connection.
     void setListenerYielded(bool on);
+    /// Returns the listening socket, or -1 once it is closed.
     [[nodiscard]] int listenerFd() const;
-    /// New connections wait in the listener's queue until open().
+    /// Leaves new connections in the listener's queue until resumeAccepting().
     void pauseAccepting();
     void resumeAccepting();
-    /// Sends clients away, or no longer: the front says that it is not ready, each answer ends its
-    /// connection, and those that rest are closed once new ones have stopped coming.
+    /// `on`: sends clients away. /healthz answers 503, each answer closes its connection, and idle connections
+    /// are closed after `evacuateCloseDelayMs`, by when new ones have stopped coming.
     void setEvacuating(bool on);
     [[nodiscard]] bool evacuating() const { return evacuatingSinceMs_.has_value(); }
-    /// From now on each answer ends its connection.
+    /// From now on each answer closes its connection.
     void startDraining() { draining_ = true; }
-    /// Takes no new connections, once those that wait in the listener's queue have been taken; `atOnce`:
-    /// these are left, unread. Whether it is so; called again until then.
+    /// Closes the listener once the connections in its queue have been accepted, or at once and without them
+    /// (`atOnce`). Returns whether the listener is closed; to be called again until it is.
     [[nodiscard]] bool closeListener(bool atOnce);
-    /// Closes the connections that owe nothing. `refusePartial`: a request that has come in part is refused.
+    /// Closes the connections without a request in work or unsent output. `refusePartial`: also refuses
+    /// requests that have arrived in part, and closes their connections.
     void closeFinishedConnections(bool refusePartial);
-    /// Whether no connection is left that may still bring a request, and all answers have arrived.
+    /// Returns whether no connection is left that may still bring a request, and all answers have been
+    /// delivered.
     [[nodiscard]] bool isDrained() const;
-    /// Hands as much of the answers to the kernel as it takes, since the loop does not turn any more.
+    /// Writes as much of the pending answers to the sockets as the kernel accepts. For the exit, when the
+    /// event loop no longer runs.
     void flushOutput();
-    /// Connections of clients that are still there.
+    /// Returns the number of open client connections.
     [[nodiscard]] std::size_t connectionCount() const { return connections_.size() + newConnections_.size(); }
 
 private:
@@ -67,21 +73,25 @@
     void handleRequest(evhttp_request* request);
     void sendReply(evhttp_request* request, int code, const char* reason, std::string body = "");
     void rejectMalformed(evhttp_request* request, const std::string& wrong);
-    /// Tells the client where its connection ends with this answer.
+    /// Adds "Connection: close" to the answer if its connection should be closed after it.
     void decideConnectionClose(evhttp_request* request);
-    /// Whether connections should end with their answers.
+    /// Returns whether answers should close their connections.
     [[nodiscard]] bool shouldCloseConnections() const;
-    /// Ends connections on which a request has come in part, with a refusal: it never ran.
+    /// Answers requests that have arrived in part with 503 and closes their connections. Such requests never
+    /// ran.
     void refusePartialRequests();
-    /// The end of an answer that was passed on; where it is not whole, the connection's too.
+    /// Ends a streamed answer. If it is not whole, closes the connection.
     void streamDone(evhttp_connection* connection, bool whole);
-    /// Closes connections that have been idle longest; their clients come back on new ones.
+    /// Closes at most `most` connections that have been idle for `idleMs` or longer, the longest idle first.
+    /// Their clients can reconnect.
     void closeIdleConnections(std::size_t most, double idleMs);
-    /// Closes those that have said nothing whole for so long, the longest silent first.
+    /// Closes at most `most` connections without a complete request since they were accepted `silentMs` or
+    /// longer ago, or, after a request, for `silentMs` plus the idle timeout. The longest silent go first.
     void closeSilentConnections(std::size_t most, double silentMs);
-    /// Whether so many descriptors are in use that no more connections are taken.
+    /// Returns whether too many descriptors or connections are in use to accept another connection.
     bool atConnectionLimit() const;
     void setAccepting(bool on);
+    /// Runs periodically: closes silent and idle connections, and decides whether new ones are accepted.
     void checkConnections();
 
     event_base* base_;
@@ -92,19 +102,20 @@
     Log& log_;
     bool draining_ = false;
     bool listenerYielded_ = false;
-    std::optional<double> evacuatingSinceMs_;  // since when
+    std::optional<double> evacuatingSinceMs_;  // clock time in ms; nothing: not evacuating
     bool accepting_ = true;
     bool acceptingPaused_ = false;
-    /// Whether anything has come on a connection since its last whole request. evhttp takes headers out of
-    /// the buffers before the body is there, and does not show it.
+    /// Tracks whether bytes have arrived on a connection since its last complete request. The length of the
+    /// input buffer alone does not tell, since evhttp removes the headers from it before the body has
+    /// arrived.
     struct InputTracker {
         explicit InputTracker(bufferevent* b);
         ~InputTracker();
         InputTracker(const InputTracker&) = delete;
         InputTracker& operator=(const InputTracker&) = delete;
-        /// Nothing has come since, and what was to leave is written.
+        /// Returns whether no bytes have arrived since and all output is written.
         bool isIdle() const;
-        /// Something has come since and waits for its rest, and what was to leave is written.
+        /// Returns whether part of a request has arrived, nothing is left to read and all output is written.
         bool hasPartialRequest() const;
 
         bufferevent* buffers;
@@ -114,20 +125,21 @@
         static void onInput(evbuffer*, const evbuffer_cb_info* info, void* self);
     };
     struct Client {
-        BuffereventRef buffers;                  // keeps its descriptor for a lingering close
-        bool lingerOnClose = false;              // its present answer ends it
-        std::size_t answersWhileClosing = 0;     // answers since it should end, as more had come behind each
-        HttpRequestHandler* handler = nullptr;   // the request in work
-        std::unique_ptr<ResponseStream> stream;  // its answer, while that is passed on as it comes
-        double lastUsedMs = 0;                   // when the last one came
+        BuffereventRef buffers;                  // keeps the descriptor for a lingering close
+        bool lingerOnClose = false;              // the present answer closes the connection
+        std::size_t answersWhileClosing = 0;     // answers since the connection should be closed
+        HttpRequestHandler* handler = nullptr;   // of the request in work, or null
+        std::unique_ptr<ResponseStream> stream;  // the answer being streamed, or null
+        double lastUsedMs = 0;                   // time of the last request or answer
         std::unique_ptr<InputTracker> input;
 
         bool isBusy() const { return handler != nullptr || stream != nullptr; }
         bool isIdle() const { return !isBusy() && input->isIdle(); }
     };
-    std::map<evhttp_connection*, Client> connections_;  // that have sent a request
-    // Those that have not, since when. evhttp shows a connection only with its first request: a reference to
-    // its buffers is held meanwhile, which evhttp's end of it leaves without callbacks.
+    std::map<evhttp_connection*, Client> connections_;  // with at least one request
+    // A connection without any request so far. evhttp reports a connection only with its first request, so a
+    // reference to its bufferevent is kept until then. When evhttp closes the connection, it removes the
+    // bufferevent's callbacks.
     struct NewConnection {
         BuffereventRef buffers;
         double acceptedAtMs = 0;
@@ -139,7 +151,7 @@
     evhttp_bound_socket* boundSocket_ = nullptr;
     Timer connectionCheckTimer_;
     LingeringCloses lingeringCloses_;
-    LibeventPtr<evhttp> server_;  // last: its end closes the connections
+    LibeventPtr<evhttp> server_;  // last member: its destruction closes the connections
 };
 
 }  // namespace martencove
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -36,7 +36,7 @@
 bool validateFraming(evhttp_request* from, std::string& wrong) {
     wrong = "";
     const char* uri = evhttp_request_get_uri(from);
-    if (uri == nullptr || !printable(uri)) wrong = uri == nullptr ? "not readable" : "path";
+    if (uri == nullptr || !printable(uri)) wrong = uri == nullptr ? "URI missing" : "path";
     std::set<std::string> seen;
     std::string length, coding;
     for (const evkeyval* field = evhttp_request_get_input_headers(from)->tqh_first; field != nullptr;
@@ -46,22 +46,22 @@
         if (!isToken(name) || std::any_of(value.begin(), value.end(), [](unsigned char c) {
                 return (c < ' ' && c != '\t') || c == 0x7f;
             }))
-            wrong = "a field";
+            wrong = "invalid header field";
         std::transform(name.begin(), name.end(), name.begin(),
                        [](unsigned char c) { return std::tolower(c); });
         if (name == "content-length") length = value;
         if (name == "transfer-encoding") coding = value.empty() ? "none" : value;
         for (const char* once : {"content-length", "transfer-encoding", "host", "req-id", "tier", "io-info",
                                  "req-deadline-ms", "idempotency-key", "content-type"}) {
-            if (name == once && !seen.insert(name).second) wrong = "a field told twice";
+            if (name == once && !seen.insert(name).second) wrong = "duplicate header field";
         }
     }
     std::uint64_t bytes = 0;
     if (seen.contains("content-length") && !parseDecimal(length, bytes)) wrong = "Content-Length";
     if (!coding.empty() && !equalsIgnoreCase(coding, "chunked")) wrong = "Transfer-Encoding";
-    if (!coding.empty() && seen.contains("content-length")) wrong = "Content-Length beside Transfer-Encoding";
+    if (!coding.empty() && seen.contains("content-length")) wrong = "Content-Length with Transfer-Encoding";
     if (evhttp_request_get_command(from) != EVHTTP_REQ_PUT && (bytes > 0 || !coding.empty()))
-        wrong = "a body";
+        wrong = "body not allowed";
     return wrong.empty();
 }
 
@@ -74,7 +74,7 @@
         const std::size_t equals = field.find('=');
         if (equals == field.npos) return std::nullopt;
         const std::string_view name = field.substr(0, equals), value = field.substr(equals + 1);
-        bool good = true;  // of a field not known here: passed over
+        bool good = true;  // unknown fields are ignored
         if (name == "units") {
             good = units = readNumber(value, out.units) && out.units > 0 && out.units < 1e6;
         } else if (name == "shard") {
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,4 @@
-// A client's request on the platform's protocol, decoded once.
+// Validates and decodes clients' HTTP requests.
 #pragma once
 
 #include <event2/http.h>
@@ -12,27 +12,31 @@
 
 namespace martencove {
 
-/// What the core needs of it, and what passes on to a node.
+/// A client's request: the part that the dispatcher uses and the part that is forwarded to a storage node.
 struct DecodedRequest {
     Request request;
     NodeRequest nodeRequest;
 };
 
-/// Whether all agree where the request ends, and on each of its fields. evhttp takes what is ambiguous: a
-/// length beside chunks, a body to a read, which it then reads as a request of its own, fields told twice.
+/// Returns whether the request's end and its fields are unambiguous; if not, `wrong` names the fault. evhttp
+/// accepts ambiguous requests: Content-Length together with Transfer-Encoding, duplicate fields, and a body
+/// after a GET, which it then reads as the next request.
 [[nodiscard]] bool validateFraming(evhttp_request* from, std::string& wrong);
 
-/// Nothing for what the protocol does not allow; `wrong` then says what.
+/// Decodes the request. Returns nothing for a request that violates the protocol; `wrong` then names the
+/// invalid part. `nowMs`: the present time in milliseconds, to which the deadline is added.
 [[nodiscard]] std::optional<DecodedRequest> decodeRequest(evhttp_request* from,
                                                           const limedrum::ProgramSettings& site, double nowMs,
                                                           std::string& wrong);
 
-/// The fields of "units=2,shard=5,hosts=3".
+/// The values of an IO-Info header such as "units=2,shard=5,hosts=3".
 struct IoInfo {
     double units = 1;
-    int shard = -1;
+    int shard = -1;  ///< -1: not given
     int hostsOfVolume = 1;
 };
+/// Parses an IO-Info header; unknown fields are ignored. Returns nothing if `units` is missing or a value is
+/// invalid.
 [[nodiscard]] std::optional<IoInfo> decodeIoInfo(std::string_view text);
 
 }  // namespace martencove
--- a/src/http/node_connection.cpp
+++ b/src/http/node_connection.cpp
@@ -27,7 +27,8 @@
     pendingRequest_ = request;
 }
 
-// What it tells the node of its time is right only now.
+// The request is encoded only now, so that Req-Deadline-Ms is the time that is left once the connection is
+// established.
 void HttpNodeConnection::onConnected() {
     writeFinal(encodeNodeRequest(*pendingRequest_, address(), remainingTimeouts().timeoutMs));
     pendingRequest_.reset();
@@ -45,8 +46,8 @@
     counters_.answerBytes += bytes - std::exchange(accountedBytes_, bytes);
 }
 
-// A long one is not held: more of them may come at once than there is memory for. Its first bytes are what
-// its client waits for; from then on there is no other attempt.
+// Long responses are not buffered, since more of them may arrive at once than fit into memory. Once the first
+// bytes are forwarded, the request gets no further attempt.
 bool HttpNodeConnection::forwardToSink(bool whole) {
     HttpResponseParser& answer = *parser_;
     if (sink_ == nullptr || answer.statusCode != 200 || !answer.headersComplete()) return true;
--- a/src/http/node_connection.h
+++ b/src/http/node_connection.h
@@ -1,4 +1,4 @@
-// Requests to storage nodes over HTTP/1.1.
+// Connections that send requests to storage nodes over HTTP/1.1 and parse the responses.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,34 @@
 
 namespace martencove {
 
-/// Where a long answer goes as it comes. Its end is told as that of any work.
+/// Receives a long response piece by piece while it arrives. The end of the response is reported through the
+/// request's done callback, as for any request.
 class ResponseSink {
 public:
     virtual ~ResponseSink() = default;
-    /// A good answer begins; `length`: of its body, nothing where that is not known. False: it is not wanted
-    /// any more, and neither link nor sink may be there.
+    /// Called when the headers of a 200 response have arrived. `length`: body length in bytes, nothing if
+    /// unknown. Returns false if the response is no longer wanted; connection and sink may then be freed
+    /// already.
     virtual bool onHeaders(const std::string& contentType, std::optional<std::uint64_t> length) = 0;
+    /// Called with each piece of the body, in order.
     virtual void onBodyData(std::string bytes) = 0;
 };
 
+/// An HTTP request to a storage node.
 struct NodeRequest {
-    ResponseSink* sink = nullptr;  ///< null: the answer is held whole
+    ResponseSink* sink = nullptr;  ///< null: the response is buffered whole
     bool isWrite = false;
     std::string uri;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
 };
-/// `deadlineMs`: what is left of its time, as the node is told.
+/// Returns the request as HTTP/1.1 text. `deadlineMs`: the remaining time in milliseconds, sent to the node
+/// as Req-Deadline-Ms, at least 1.
 [[nodiscard]] std::string encodeNodeRequest(const NodeRequest& request, const Address& node,
                                             double deadlineMs);
 
+/// A connection to a storage node that carries one HTTP request at a time. Responses longer than
+/// `streamThresholdBytes` are forwarded to the request's sink while they arrive.
 class HttpNodeConnection final : public NodeConnection {
 public:
     using Work = NodeRequest;
@@ -45,11 +52,13 @@
 
     ~HttpNodeConnection() override { accountBufferedBytes(0); }
 
+    /// Returns whether the connection can carry a request to the node at `to`.
     [[nodiscard]] bool matches(const Address& to, const NodeRequest&) const { return address() == to; }
+    /// Sends the request, at once if connected, otherwise as soon as the connection is established.
     void start(const NodeRequest& request, const AttemptTimeouts& times, DoneCallback over);
-    /// The work that waits for it to come up.
+    /// Returns the request that waits for the connection to be established; there must be one.
     [[nodiscard]] const NodeRequest& pendingRequest() const { return *pendingRequest_; }
-    /// Another one that is up does it.
+    /// Moves the waiting request to a connection that is established.
     void transferRequest(HttpNodeConnection& other);
 
 private:
@@ -57,15 +66,17 @@
     void onData(std::string_view& in) override;
     void onEof() override;
 
+    /// Updates the global counter of buffered response bytes with this connection's share.
     void accountBufferedBytes(std::size_t bytes);
-    /// Passes on what has come of a long answer. False: this link may be gone.
+    /// Forwards the received part of a long response to the sink. `whole`: the response is complete. Returns
+    /// false if this connection may have been freed.
     [[nodiscard]] bool forwardToSink(bool whole);
 
-    std::optional<NodeRequest> pendingRequest_;  // for the connection to come up
-    std::optional<HttpResponseParser> parser_;   // of the present request
-    ResponseSink* sink_ = nullptr;               // of it
-    bool streaming_ = false;                     // it has begun
-    std::size_t accountedBytes_ = 0;             // of its answer, as counted
+    std::optional<NodeRequest> pendingRequest_;  // waits for the connection
+    std::optional<HttpResponseParser> parser_;   // of the current request
+    ResponseSink* sink_ = nullptr;               // of the current request
+    bool streaming_ = false;                     // the sink has received the headers
+    std::size_t accountedBytes_ = 0;             // counted in Counters::answerBytes
 };
 
 using HttpNodeConnectionPool = NodeConnectionPool<HttpNodeConnection>;
--- a/src/http/response_parser.cpp
+++ b/src/http/response_parser.cpp
@@ -47,7 +47,7 @@
     return got;
 }
 
-// Lines end with CR LF, and hold neither.
+// Reads up to the end of a line. Lines end with CR LF and contain neither character elsewhere.
 HttpResponseParser::ParseResult HttpResponseParser::readLine(std::string_view& in) {
     const std::size_t end = std::min(in.find('\n'), in.size());
     const std::size_t taken = std::min(end + 1, in.size());
@@ -66,7 +66,7 @@
     return line_.find('\r') == line_.npos ? ParseResult::complete : ParseResult::invalid;
 }
 
-// "HTTP/1.1 200" and perhaps a reason.
+// Accepts "HTTP/1.0" or "HTTP/1.1", a status code and optionally a reason phrase.
 HttpResponseParser::ParseResult HttpResponseParser::parseStatusLine() {
     const std::string_view line = line_;
     if (line.size() < 12 || (line[7] != '0' && line[7] != '1') || line[8] != ' ' ||
@@ -100,7 +100,7 @@
 }
 
 HttpResponseParser::ParseResult HttpResponseParser::finishHeaders() {
-    if (statusCode < 200) {  // for information only: the answer is still to come
+    if (statusCode < 200) {  // 1xx: the final response follows
         if (hasContentLength_ || chunked_) return ParseResult::invalid;
         declined = false;
         state_ = State::statusLine;
--- a/src/http/response_parser.h
+++ b/src/http/response_parser.h
@@ -1,5 +1,6 @@
-// A node's answer over HTTP/1.1, out of bytes as they come. Pure: no sockets. evhttp's client takes answers
-// that are spoilt and stumbles over 1xx ones; here a byte out of place makes the answer bad.
+// Incremental parser for HTTP/1.1 responses from storage nodes; does no I/O. It is strict: any malformed byte
+// makes the response invalid. evhttp's client is not used since it accepts malformed responses and mishandles
+// 1xx ones.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +12,32 @@
 
 namespace martencove {
 
+/// Parses one response. Feed it with parse() until that returns `complete` or `invalid`.
 class HttpResponseParser {
 public:
     enum class ParseResult { needMore, complete, invalid };
 
     explicit HttpResponseParser(const Limits& limits) : limits_(limits) {}
 
-    /// Takes what belongs to the answer off the front of `in`. 1xx answers before it are passed over.
+    /// Consumes the bytes at the front of `in` that belong to the response. Preceding 1xx responses are
+    /// skipped, except for 101, which is invalid.
     ParseResult parse(std::string_view& in);
 
-    /// Its status and headers have come.
+    /// Returns whether the status line and all headers have been parsed.
     [[nodiscard]] bool headersComplete() const { return state_ > State::headers; }
-    /// Of a body whose length was told, what is still to come.
+    /// Returns the number of body bytes still to come, or nothing if there was no Content-Length.
     [[nodiscard]] std::optional<std::uint64_t> remainingBodyBytes() const {
         return hasContentLength_ ? std::optional(remainingBytes_) : std::nullopt;
     }
-    /// Neither a length nor chunks: it is whole once the node ends the connection. A reset is no end.
+    /// Returns whether the response has neither Content-Length nor chunks: it is complete when the node
+    /// closes the connection in order; a reset is an error.
     [[nodiscard]] bool readsUntilClose() const { return state_ == State::untilClose; }
 
-    // Of a whole answer, `body` but for what was taken from it meanwhile:
+    // Valid once the response is complete. `body` lacks the bytes that the caller has removed from it
+    // meanwhile.
     int statusCode = 0;
-    bool declined = false;  ///< the node says that it has not run the request
-    bool keepAlive = true;  ///< the connection may be used again
+    bool declined = false;  ///< Srv-Declined: 1; the node has not run the request
+    bool keepAlive = true;  ///< the connection may be reused
     std::string contentType;
     std::string body;
 
@@ -59,10 +64,10 @@
 
     const Limits& limits_;
     State state_ = State::statusLine;
-    std::string line_;                  // what has come of the present one
-    std::size_t headerBytes_ = 0;       // of all lines, those of 1xx answers and of trailers too
-    std::uint64_t remainingBytes_ = 0;  // of the body, or of its present chunk
-    bool hasContentLength_ = false;     // Content-Length was told
+    std::string line_;                  // the current line, as far as received
+    std::size_t headerBytes_ = 0;       // of all lines, including 1xx responses and trailers
+    std::uint64_t remainingBytes_ = 0;  // of the body or of the current chunk
+    bool hasContentLength_ = false;
     bool chunked_ = false;
 };
 
--- a/src/http/response_stream.cpp
+++ b/src/http/response_stream.cpp
@@ -5,7 +5,7 @@
 namespace martencove {
 namespace {
 
-/// An answer's body on its way to the client, which its connection's buffer lets go of once it is written.
+/// A response body in a client's output buffer, which frees it once it is written.
 struct Leaving {
     std::string body;
     Counters& counters;
@@ -28,7 +28,7 @@
             by, text.data(), text.size(),
             [](const void*, std::size_t, void* arg) { delete static_cast<Leaving*>(arg); },
             leaving.get()) == 0)
-        (void)leaving.release();  // the buffer's now
+        (void)leaving.release();  // owned by the buffer now
 }
 
 bool ResponseStream::startAttempt(const Address& node, const NodeRequest& request,
@@ -37,7 +37,8 @@
     return exchange_ != nullptr;
 }
 
-// evhttp closes a connection on which nothing has come for the time of an idle one, also while it writes.
+// evhttp applies its idle timeout for reading also while it writes a response, so there is no read timeout
+// while a response is streamed.
 void ResponseStream::setClientTimeouts(bool reading) {
     const timeval idle = toTimeval(limits_.clientIdleTimeoutMs),
                   still = toTimeval(limits_.streamStallTimeoutMs);
@@ -64,11 +65,11 @@
 bool ResponseStream::onHeaders(const std::string& contentType, std::optional<std::uint64_t> length) {
     contentType_ = contentType;
     length_ = length;
-    const auto passes = callbacks_.onStart;  // a copy: this may be freed meanwhile
+    const auto passes = callbacks_.onStart;  // a copy: the call may free this object
     return passes();
 }
 
-// No more is read than a client takes, but for a little that is before it.
+// Stops reading from the node while more than `maxStreamBufferBytes` wait to be written to the client.
 void ResponseStream::onBodyData(std::string bytes) {
     const LibeventPtr<evbuffer> buffer(evbuffer_new());
     if (!buffer) return;
@@ -87,7 +88,7 @@
 }
 
 void ResponseStream::attemptEnded(NodeReply reply) {
-    // The same here.
+    // Callbacks are copied, since the call may free this object.
     if (request_ == nullptr) {
         const auto ended = callbacks_.onEnd;
         return ended(std::move(reply));
--- a/src/http/response_stream.h
+++ b/src/http/response_stream.h
@@ -1,4 +1,5 @@
-// One attempt of a client's request on its way, and what a client gets of it.
+// One attempt to serve a client's request at a storage node, and the streaming of a long response to the
+// client.
 #pragma once
 
 #include <functional>
@@ -13,33 +14,37 @@
 
 namespace martencove {
 
-/// Puts an answer's body into a client's buffer. It counts as held until it is written.
+/// Appends a response body to a client's output buffer. Its bytes count in Counters::answerBytes until they
+/// are written.
 void addAccountedBody(evbuffer* by, std::string body, Counters& counters);
 
-/// A long answer goes on to the client as it comes: then the request's owner has no more part in it, and it
-/// is the client's connection that holds this.
+/// An attempt in flight. A long response is streamed to the client while it arrives: from sendHeaders() on,
+/// the client's connection owns this object and the callbacks of the request's owner are no longer called.
 class ResponseStream final : public ResponseSink {
 public:
-    /// Who has the request until goOn().
+    /// Called until sendHeaders().
     struct Callbacks {
-        std::function<bool()> onStart;  ///< a long answer begins; whether it goes on
-        std::function<void(NodeReply)> onEnd;
+        std::function<bool()> onStart;         ///< a long response begins; returns whether to stream it
+        std::function<void(NodeReply)> onEnd;  ///< the attempt has ended, the response was not streamed
     };
-    /// The answer has been passed on; where not whole, the client's connection has to end. May free this.
+    /// Called at the end of a streamed response. If it is not whole, the client's connection has to be
+    /// closed. May free this object.
     using DoneCallback = std::function<void(evhttp_connection*, bool whole)>;
 
     ResponseStream(HttpNodeConnectionPool& pool, const Limits& limits, Counters& counters, Callbacks owner)
         : pool_(pool), limits_(limits), counters_(counters), callbacks_(std::move(owner)) {}
 
+    /// Sends the request to the node. Returns false if that is not possible; no callback is called then.
     [[nodiscard]] bool startAttempt(const Address& node, const NodeRequest& request,
                                     const AttemptTimeouts& times);
+    /// Returns whether any bytes of the request have been written to the node.
     [[nodiscard]] bool hasSentBytes() const { return exchange_->hasSentBytes(); }
 
-    /// The answer's head goes to the client; pieces follow.
+    /// Sends status and headers to the client; the body follows through onBodyData().
     void sendHeaders(evhttp_request* request, DoneCallback passed);
-    /// The last piece has gone: so has the request.
+    /// Ends the response to the client; `request()` is null afterwards.
     void finishResponse();
-    /// Since goOn(); its connection holds it.
+    /// Returns the client's request, which its connection owns; null before sendHeaders().
     [[nodiscard]] evhttp_request* request() const { return request_; }
 
     bool onHeaders(const std::string& contentType, std::optional<std::uint64_t> length) override;
@@ -47,7 +52,10 @@
 
 private:
     void attemptEnded(NodeReply reply);
+    /// Resumes reading from the node once the client's output buffer is empty.
     static void onOutputDrained(evhttp_connection*, void* self);
+    /// Sets the timeouts of the client's connection. `reading`: the idle timeout in both directions;
+    /// otherwise the stall timeout for writing alone.
     void setClientTimeouts(bool reading);
 
     HttpNodeConnectionPool& pool_;
@@ -59,7 +67,7 @@
     std::string contentType_;
     std::optional<std::uint64_t> length_;
     evhttp_request* request_ = nullptr;
-    bool readingPaused_ = false;  // the client has enough before it
+    bool readingPaused_ = false;  // the client's output buffer is full
 };
 
 }  // namespace martencove
