--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -19,10 +19,10 @@
 constexpr std::size_t kMostSockets = 8;
 constexpr std::size_t kNamesBytes = 256;
 constexpr char kReady = 'r';
-// Among the names, without a descriptor: what was learned follows behind the end of the line, as its length,
-// a line's end and the text. One that does not know it passes it over.
+// A name without a descriptor. It announces that the learned state follows the line: its length in bytes,
+// '\n' and the text. A receiver that does not know the name ignores it.
 constexpr std::string_view kMemory = "memory";
-constexpr std::size_t kMemoryBytes = 192 * 1024;  // what a socket takes that nobody reads yet
+constexpr std::size_t kMemoryBytes = 192 * 1024;  // fits into the buffer of an unread socket
 
 std::optional<sockaddr_un> addressOf(const std::string& path) {
     sockaddr_un out{};
@@ -32,7 +32,8 @@
     return out;
 }
 
-/// The names, each with a blank behind it, and the descriptors in their order; then the memory.
+/// Sends one line with the names, each followed by a blank, and the descriptors in the same order; then the
+/// learned state. Returns false if the sockets could not be sent.
 bool give(int to, const std::map<std::string, int>& sockets, const std::string& memory) {
     std::string names;
     std::vector<int> fds;
@@ -56,15 +57,15 @@
     std::memcpy(CMSG_DATA(head), fds.data(), fds.size() * sizeof(int));
     if (sendmsg(to, &message, MSG_NOSIGNAL | MSG_DONTWAIT) != static_cast<ssize_t>(names.size()))
         return false;
-    // A part of it is none to the other one: it begins without.
+    // The state is sent whole or not at all; the receiver ignores a truncated one.
     const std::string sent = memory.size() > kMemoryBytes ? "" : memory;
     const std::string told = std::to_string(sent.size()) + '\n' + sent;
     (void)!send(to, told.data(), told.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return true;
 }
 
-/// The memory, of which `got` has come already; empty where it is cut off or takes longer than the socket
-/// waits.
+/// Reads the learned state; `got` holds what has been received already. Returns an empty text if the state is
+/// truncated, malformed or not received within the socket's timeout.
 std::string readMemory(int from, std::string got) {
     std::size_t length = 0, begins = 0;
     for (;;) {
@@ -75,7 +76,7 @@
             begins = end + 1;
         }
         if (begins > 0 && got.size() >= begins + length) return got.substr(begins, length);
-        if (begins == 0 && got.size() > 20) return "";  // no length is so long
+        if (begins == 0 && got.size() > 20) return "";  // longer than any valid length
         char more[16 * 1024];
         const ssize_t read = recv(from, more, sizeof more, 0);
         if (read < 0 && errno == EINTR) continue;
@@ -84,6 +85,7 @@
     }
 }
 
+/// Returns whether the other end of the connection runs as the same user.
 bool sameUser(int connection) {
     ucred other{};
     socklen_t size = sizeof other;
@@ -173,7 +175,8 @@
       counters_(counters),
       log_(log) {}
 
-// Under a name of its own first, so that whoever asks meets one that listens or none.
+// Binds a name of its own first and renames it, so that a successor never finds a socket that does not
+// listen.
 void HandoverServer::listen() {
     const std::string own = path_ + '.' + std::to_string(getpid());
     const auto address = addressOf(own);
@@ -183,7 +186,7 @@
         bind(fd.get(), reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0 ||
         ::listen(fd.get(), 4) != 0 || std::rename(own.c_str(), path_.c_str()) != 0) {
         counters_.add("handover_off");
-        return log_.warn("handover", "cannot listen, a next process gets no sockets", {{"path", path_}});
+        return log_.warn("handover", "cannot listen, no handover to a successor process", {{"path", path_}});
     }
     acceptEvent_.reset();
     listener_ = std::move(fd);
@@ -201,11 +204,12 @@
         !give(taker.get(), getSockets_(), exportState_())) {
         counters_.add("handover_refused");
         return log_.warn(
-            "handover", "asked for sockets, not given",
-            {{"reason", successorConnection_.get() >= 0 ? "another process has them" : "not one of ours"}});
+            "handover", "handover request refused",
+            {{"reason", successorConnection_.get() >= 0 ? "another process has the sockets"
+                                                        : "another user, or the sockets could not be sent"}});
     }
     counters_.add("handover_given");
-    log_.info("handover", "sockets given to a next process");
+    log_.info("handover", "sockets handed over to a successor process");
     successorConnection_ = std::move(taker);
     successorEvent_.reset(event_new(
         base_, successorConnection_.get(), EV_READ | EV_PERSIST,
@@ -220,16 +224,16 @@
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (got <= 0) return onSuccessorGone();
     if (said != kReady || std::exchange(successorTookOver_, true)) return;
-    log_.info("handover", "the next process takes clients, this one steps aside");
+    log_.info("handover", "the successor process accepts clients, this one steps aside");
     onTakeoverChange_(true);
 }
 
-// The next process is gone. If it had taken over, clients would find nobody.
+// If the successor had taken over, nobody would accept clients any more, so this process resumes.
 void HandoverServer::onSuccessorGone() {
     successorEvent_.reset();
     successorConnection_.reset();
     counters_.add("handover_over");
-    log_.warn("handover", "the next process is gone", {{"took_clients", successorTookOver_}});
+    log_.warn("handover", "the successor process has exited", {{"took_clients", successorTookOver_}});
     if (!std::exchange(successorTookOver_, false)) return;
     listen();
     onTakeoverChange_(false);
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -1,5 +1,6 @@
-// From one process to the next on the same machine: the one that serves gives its sockets away, and steps
-// aside once the other takes clients. If that one ends, it takes clients again.
+// Hands the listening sockets over from a running process to its successor on the same machine, through a
+// Unix domain socket. The running process stops accepting clients once the successor accepts them, and
+// resumes if the successor exits.
 #pragma once
 
 #include <functional>
@@ -15,7 +16,7 @@
 
 namespace martencove::handover {
 
-/// A descriptor with an owner.
+/// Owns a file descriptor and closes it on destruction; -1: none.
 class FileDescriptor {
 public:
     explicit FileDescriptor(int fd = -1) : fd_(fd) {}
@@ -33,34 +34,39 @@
     int fd_;
 };
 
-/// What a new process gets: sockets by their names, what the other one has learned, and the connection on
-/// which it says that it takes clients.
+/// What the successor receives: sockets by name, the learned state of the old process, and the connection on
+/// which the successor reports that it accepts clients.
 struct ReceivedHandover {
     std::map<std::string, FileDescriptor> sockets;
-    std::string learnedState;  ///< empty: none came, or not whole
+    std::string learnedState;  ///< empty: none received, or truncated
     FileDescriptor giverConnection;
 
-    /// The socket of that name, whose owner the caller is from now on; -1: there is none.
+    /// Returns the socket of that name, which the caller then owns; -1 if there is none.
     [[nodiscard]] int takeSocket(const std::string& name);
-    /// Says so. The connection stays: its end tells the giver that this process is gone.
+    /// Reports that this process accepts clients. The connection stays open: its end tells the old process
+    /// that this one has exited.
     void notifyReady() const;
 };
 
-/// Asks at `path` for the sockets of a process that serves. Nothing where none is there or it does not answer
-/// in time; waits for `limits.handoverMs` at most.
+/// Requests the sockets of the process that listens at `path`. Each read blocks for at most
+/// `limits.handoverTimeoutMs`. Returns nothing if there is no such process, it runs as another user, or it
+/// sends no sockets in time.
 [[nodiscard]] std::optional<ReceivedHandover> requestHandover(const std::string& path, const Limits& limits);
 
+/// Serves handover requests of successors at a path, one successor at a time.
 class HandoverServer {
 public:
-    /// `sockets`: by name, those that are open. `memory`: what was learned, which is the next process's once
-    /// it is asked for. `aside`: whether another process takes clients now.
+    /// `sockets` returns the open sockets by name. `memory` returns the learned state; once it is called,
+    /// that state belongs to the successor. `aside` is called with true when the successor accepts clients
+    /// and with false when it has exited.
     HandoverServer(event_base* base, std::string path, std::function<std::map<std::string, int>()> sockets,
                    std::function<std::string()> memory, std::function<void(bool aside)> aside,
                    Counters& counters, Log& log);
     HandoverServer(const HandoverServer&) = delete;
     HandoverServer& operator=(const HandoverServer&) = delete;
 
-    /// Listens at its path from now on, in the place of whoever did.
+    /// Starts listening at the path and replaces any earlier listener there. On failure logs a warning and
+    /// counts `handover_off`.
     void listen();
 
 private:
@@ -76,7 +82,7 @@
     Counters& counters_;
     Log& log_;
     FileDescriptor listener_;
-    FileDescriptor successorConnection_;  // one at a time
+    FileDescriptor successorConnection_;  // -1: there is no successor
     bool successorTookOver_ = false;
     LibeventPtr<event> acceptEvent_;
     LibeventPtr<event> successorEvent_;
--- a/src/ops/front.cpp
+++ b/src/ops/front.cpp
@@ -9,6 +9,7 @@
 namespace martencove::ops {
 namespace {
 
+/// Answers 200 (`yes`), 405 (`allow` given) or 503, and closes the connection.
 void answer(evhttp_request* request, bool yes, const char* allow = nullptr) {
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Connection", "close");
@@ -43,8 +44,8 @@
     sweepTimer_.start(limits_.sweepIntervalMs);
 }
 
-// Beyond the bound the oldest caller gives way: one that is served is gone at once, so that it is one that
-// says nothing.
+// At the limit the oldest connection is closed. It has to be a silent one, since a connection whose call is
+// served is closed at once.
 bufferevent* Front::onAccept(event_base* base, void* arg) {
     auto* self = static_cast<Front*>(arg);
     self->counters_.add("ops_connection");
@@ -57,7 +58,7 @@
     BuffereventRef held = newBufferevent(base);
     if (!held) return nullptr;
     bufferevent* buffers = held.get();
-    // An answer is due whatever the load.
+    // Calls have to be answered under any load.
     bufferevent_priority_set(buffers, kHighPriority);
     self->callers_.push_back({std::move(held), self->clock_.nowMs()});
     return buffers;
@@ -65,7 +66,7 @@
 
 void Front::closeTimedOutCallers() {
     std::erase_if(callers_, [](const Caller& c) { return closedByEvhttp(c.buffers.get()); });
-    // evhttp's own time-out begins anew with each byte.
+    // evhttp's own timeout restarts with each byte.
     const double before = clock_.nowMs() - limits_.opsRequestTimeoutMs;
     while (!callers_.empty() && callers_.front().acceptedAtMs < before) {
         shutdown(bufferevent_getfd(callers_.front().buffers.get()), SHUT_RDWR);
--- a/src/ops/front.h
+++ b/src/ops/front.h
@@ -1,4 +1,5 @@
-// The second address, for operators' tools: three calls, one a connection, none of them a way to a request.
+// The operations endpoint: an HTTP server at an address of its own, for operators' tools. It has three calls
+// (/api/ready, /api/evacuate, /api/rejoin) and serves one call per connection.
 #pragma once
 
 #include <functional>
@@ -14,16 +15,18 @@
 
 namespace martencove::ops {
 
-/// What the calls ask of the program.
+/// What the calls invoke.
 struct Callbacks {
-    std::function<bool()> isReady;   ///< whether it takes clients
-    std::function<void()> evacuate;  ///< to empty itself; again: nothing new
-    std::function<void()> rejoin;    ///< and back to work
+    std::function<bool()> isReady;   ///< returns whether the program accepts clients
+    std::function<void()> evacuate;  ///< sends clients away; has no further effect when repeated
+    std::function<void()> rejoin;    ///< accepts clients again
 };
 
+/// The HTTP server of the operations endpoint. It limits the number of connections and the time of each, so
+/// that silent callers cannot keep others out.
 class Front {
 public:
-    /// Throws std::runtime_error where the address cannot be bound.
+    /// Throws std::runtime_error if the address cannot be bound.
     Front(event_base* base, const Address& listen, Callbacks ports, const Clock& clock, const Limits& limits,
           Counters& counters, Log& log);
     Front(const Front&) = delete;
@@ -33,6 +36,7 @@
     static void onRequest(evhttp_request* request, void* self);
     static bufferevent* onAccept(event_base* base, void* self);
     void handleRequest(evhttp_request* request);
+    /// Runs periodically: closes connections older than `opsRequestTimeoutMs`.
     void closeTimedOutCallers();
 
     Callbacks callbacks_;
@@ -40,15 +44,15 @@
     const Limits& limits_;
     Counters& counters_;
     Log& log_;
-    // Connections by age, the oldest first. A reference to each one's buffers is held, which evhttp's end of
-    // it leaves without callbacks.
+    // Connections, the oldest first. Each keeps a reference to its bufferevent; when evhttp closes the
+    // connection, it removes the bufferevent's callbacks.
     struct Caller {
         BuffereventRef buffers;
         double acceptedAtMs = 0;
     };
     std::list<Caller> callers_;
     Timer sweepTimer_;
-    LibeventPtr<evhttp> server_;  // last: its end closes the connections
+    LibeventPtr<evhttp> server_;  // last member: its destruction closes the connections
 };
 
 }  // namespace martencove::ops
