--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -16,34 +16,34 @@
 namespace martencove::handover {
 namespace {
 
-constexpr std::size_t kMostSockets = 8;
-constexpr std::size_t kNamesBytes = 256;
-constexpr char kReady = 'r';
+constexpr std::size_t kMaxSockets = 8;
+constexpr std::size_t kMaxNamesBytes = 256;
+constexpr char kReadyByte = 'r';
 // A name without a descriptor. It announces that the learned state follows the line: its length in bytes,
 // '\n' and the text. A receiver that does not know the name ignores it.
-constexpr std::string_view kMemory = "memory";
-constexpr std::size_t kMemoryBytes = 192 * 1024;  // fits into the buffer of an unread socket
-
-std::optional<sockaddr_un> addressOf(const std::string& path) {
-    sockaddr_un out{};
-    if (path.size() >= sizeof out.sun_path) return std::nullopt;
-    out.sun_family = AF_UNIX;
-    std::memcpy(out.sun_path, path.data(), path.size());
-    return out;
+constexpr std::string_view kLearnedStateName = "memory";
+constexpr std::size_t kMaxLearnedStateBytes = 192 * 1024;  // fits into the buffer of an unread socket
+
+std::optional<sockaddr_un> toUnixAddress(const std::string& path) {
+    sockaddr_un address{};
+    if (path.size() >= sizeof address.sun_path) return std::nullopt;
+    address.sun_family = AF_UNIX;
+    std::memcpy(address.sun_path, path.data(), path.size());
+    return address;
 }
 
 /// Sends one line with the names, each followed by a blank, and the descriptors in the same order; then the
 /// learned state. Returns false if the sockets could not be sent.
-bool give(int to, const std::map<std::string, int>& sockets, const std::string& memory) {
+bool sendHandover(int to, const std::map<std::string, int>& sockets, const std::string& learnedState) {
     std::string names;
     std::vector<int> fds;
     for (const auto& [name, fd] : sockets) {
         names += name + ' ';
         fds.push_back(fd);
     }
-    names += std::string(kMemory) + " \n";
-    if (fds.empty() || fds.size() > kMostSockets || names.size() > kNamesBytes) return false;
-    alignas(cmsghdr) char control[CMSG_SPACE(kMostSockets * sizeof(int))] = {};
+    names += std::string(kLearnedStateName) + " \n";
+    if (fds.empty() || fds.size() > kMaxSockets || names.size() > kMaxNamesBytes) return false;
+    alignas(cmsghdr) char control[CMSG_SPACE(kMaxSockets * sizeof(int))] = {};
     iovec text{names.data(), names.size()};
     msghdr message{};
     message.msg_iov = &text;
@@ -58,38 +58,40 @@
     if (sendmsg(to, &message, MSG_NOSIGNAL | MSG_DONTWAIT) != static_cast<ssize_t>(names.size()))
         return false;
     // The state is sent whole or not at all; the receiver ignores a truncated one.
-    const std::string sent = memory.size() > kMemoryBytes ? "" : memory;
-    const std::string told = std::to_string(sent.size()) + '\n' + sent;
-    (void)!send(to, told.data(), told.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    const std::string state = learnedState.size() > kMaxLearnedStateBytes ? "" : learnedState;
+    const std::string stateText = std::to_string(state.size()) + '\n' + state;
+    (void)!send(to, stateText.data(), stateText.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return true;
 }
 
-/// Reads the learned state; `got` holds what has been received already. Returns an empty text if the state is
-/// truncated, malformed or not received within the socket's timeout.
-std::string readMemory(int from, std::string got) {
-    std::size_t length = 0, begins = 0;
+/// Reads the learned state; `received` holds the bytes that have arrived already. Returns an empty text if
+/// the state is truncated, malformed or not received within the socket's timeout.
+std::string readLearnedState(int from, std::string received) {
+    std::size_t length = 0, stateBegin = 0;
     for (;;) {
-        const std::size_t end = got.find('\n');
-        if (end != got.npos && begins == 0) {
-            const auto [next, error] = std::from_chars(got.data(), got.data() + end, length);
-            if (error != std::errc{} || next != got.data() + end || length > kMemoryBytes) return "";
-            begins = end + 1;
+        const std::size_t end = received.find('\n');
+        if (end != received.npos && stateBegin == 0) {
+            const auto [next, error] = std::from_chars(received.data(), received.data() + end, length);
+            if (error != std::errc{} || next != received.data() + end || length > kMaxLearnedStateBytes)
+                return "";
+            stateBegin = end + 1;
         }
-        if (begins > 0 && got.size() >= begins + length) return got.substr(begins, length);
-        if (begins == 0 && got.size() > 20) return "";  // longer than any valid length
-        char more[16 * 1024];
-        const ssize_t read = recv(from, more, sizeof more, 0);
+        if (stateBegin > 0 && received.size() >= stateBegin + length)
+            return received.substr(stateBegin, length);
+        if (stateBegin == 0 && received.size() > 20) return "";  // longer than any valid length
+        char chunk[16 * 1024];
+        const ssize_t read = recv(from, chunk, sizeof chunk, 0);
         if (read < 0 && errno == EINTR) continue;
         if (read <= 0) return "";
-        got.append(more, static_cast<std::size_t>(read));
+        received.append(chunk, static_cast<std::size_t>(read));
     }
 }
 
 /// Returns whether the other end of the connection runs as the same user.
 bool sameUser(int connection) {
-    ucred other{};
-    socklen_t size = sizeof other;
-    return getsockopt(connection, SOL_SOCKET, SO_PEERCRED, &other, &size) == 0 && other.uid == geteuid();
+    ucred peer{};
+    socklen_t size = sizeof peer;
+    return getsockopt(connection, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == geteuid();
 }
 
 }  // namespace
@@ -100,91 +102,92 @@
 }
 
 int ReceivedHandover::takeSocket(const std::string& name) {
-    const auto at = sockets.find(name);
-    return at == sockets.end() ? -1 : at->second.release();
+    const auto found = sockets.find(name);
+    return found == sockets.end() ? -1 : found->second.release();
 }
 
 void ReceivedHandover::notifyReady() const {
-    (void)!send(giverConnection.get(), &kReady, 1, MSG_NOSIGNAL | MSG_DONTWAIT);
+    (void)!send(giverConnection.get(), &kReadyByte, 1, MSG_NOSIGNAL | MSG_DONTWAIT);
 }
 
 std::optional<ReceivedHandover> requestHandover(const std::string& path, const Limits& limits) {
-    const auto address = addressOf(path);
+    const auto address = toUnixAddress(path);
     if (!address) return std::nullopt;
-    ReceivedHandover out;
-    out.giverConnection.reset(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    const timeval most = toTimeval(limits.handoverTimeoutMs);
-    if (out.giverConnection.get() < 0 ||
-        setsockopt(out.giverConnection.get(), SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most) != 0 ||
-        connect(out.giverConnection.get(), reinterpret_cast<const sockaddr*>(&*address), sizeof *address) !=
-            0 ||
-        !sameUser(out.giverConnection.get()))
+    ReceivedHandover handover;
+    handover.giverConnection.reset(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    const timeval timeout = toTimeval(limits.handoverTimeoutMs);
+    if (handover.giverConnection.get() < 0 ||
+        setsockopt(handover.giverConnection.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout) != 0 ||
+        connect(handover.giverConnection.get(), reinterpret_cast<const sockaddr*>(&*address),
+                sizeof *address) != 0 ||
+        !sameUser(handover.giverConnection.get()))
         return std::nullopt;
-    char names[kNamesBytes];
-    alignas(cmsghdr) char control[CMSG_SPACE(kMostSockets * sizeof(int))] = {};
-    iovec text{names, sizeof names};
+    char names[kMaxNamesBytes];
+    alignas(cmsghdr) char control[CMSG_SPACE(kMaxSockets * sizeof(int))] = {};
+    iovec buffer{names, sizeof names};
     msghdr message{};
-    message.msg_iov = &text;
+    message.msg_iov = &buffer;
     message.msg_iovlen = 1;
     message.msg_control = control;
     message.msg_controllen = sizeof control;
-    ssize_t got = 0;
-    do got = recvmsg(out.giverConnection.get(), &message, MSG_CMSG_CLOEXEC);
-    while (got < 0 && errno == EINTR);
+    ssize_t received = 0;
+    do received = recvmsg(handover.giverConnection.get(), &message, MSG_CMSG_CLOEXEC);
+    while (received < 0 && errno == EINTR);
     std::vector<FileDescriptor> fds;
-    for (cmsghdr* head = CMSG_FIRSTHDR(&message); got > 0 && head != nullptr;
+    for (cmsghdr* head = CMSG_FIRSTHDR(&message); received > 0 && head != nullptr;
          head = CMSG_NXTHDR(&message, head)) {
         if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS) continue;
-        for (std::size_t at = 0; at + sizeof(int) <= head->cmsg_len - CMSG_LEN(0); at += sizeof(int)) {
+        for (std::size_t offset = 0; offset + sizeof(int) <= head->cmsg_len - CMSG_LEN(0);
+             offset += sizeof(int)) {
             int fd = -1;
-            std::memcpy(&fd, CMSG_DATA(head) + at, sizeof fd);
+            std::memcpy(&fd, CMSG_DATA(head) + offset, sizeof fd);
             fds.emplace_back(fd);
         }
     }
-    const std::string_view all(names, static_cast<std::size_t>(std::max<ssize_t>(got, 0)));
-    const std::string_view line = all.substr(0, all.find('\n'));
+    const std::string_view text(names, static_cast<std::size_t>(std::max<ssize_t>(received, 0)));
+    const std::string_view line = text.substr(0, text.find('\n'));
     std::string name;
-    std::size_t next = 0;
-    bool memory = false;
+    std::size_t nextFd = 0;
+    bool hasLearnedState = false;
     for (const char c : line) {
         if (c != ' ') {
             name += c;
-        } else if (name == kMemory) {
-            memory = true;
+        } else if (name == kLearnedStateName) {
+            hasLearnedState = true;
             name.clear();
-        } else if (next < fds.size()) {
-            out.sockets.insert_or_assign(std::exchange(name, {}), std::move(fds[next++]));
+        } else if (nextFd < fds.size()) {
+            handover.sockets.insert_or_assign(std::exchange(name, {}), std::move(fds[nextFd++]));
         }
     }
-    if (out.sockets.empty()) return std::nullopt;
-    if (memory)
-        out.learnedState = readMemory(out.giverConnection.get(),
-                                      std::string(all.substr(std::min(all.size(), line.size() + 1))));
-    return out;
+    if (handover.sockets.empty()) return std::nullopt;
+    if (hasLearnedState)
+        handover.learnedState = readLearnedState(
+            handover.giverConnection.get(), std::string(text.substr(std::min(text.size(), line.size() + 1))));
+    return handover;
 }
 
 HandoverServer::HandoverServer(event_base* base, std::string path,
-                               std::function<std::map<std::string, int>()> sockets,
-                               std::function<std::string()> memory, std::function<void(bool)> aside,
-                               Counters& counters, Log& log)
+                               std::function<std::map<std::string, int>()> getSockets,
+                               std::function<std::string()> exportState,
+                               std::function<void(bool)> onTakeoverChange, Counters& counters, Log& log)
     : base_(base),
       path_(std::move(path)),
-      getSockets_(std::move(sockets)),
-      exportState_(std::move(memory)),
-      onTakeoverChange_(std::move(aside)),
+      getSockets_(std::move(getSockets)),
+      exportState_(std::move(exportState)),
+      onTakeoverChange_(std::move(onTakeoverChange)),
       counters_(counters),
       log_(log) {}
 
 // Binds a name of its own first and renames it, so that a successor never finds a socket that does not
 // listen.
 void HandoverServer::listen() {
-    const std::string own = path_ + '.' + std::to_string(getpid());
-    const auto address = addressOf(own);
+    const std::string temporaryPath = path_ + '.' + std::to_string(getpid());
+    const auto address = toUnixAddress(temporaryPath);
     FileDescriptor fd(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    (void)unlink(own.c_str());
+    (void)unlink(temporaryPath.c_str());
     if (!address || fd.get() < 0 ||
         bind(fd.get(), reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0 ||
-        ::listen(fd.get(), 4) != 0 || std::rename(own.c_str(), path_.c_str()) != 0) {
+        ::listen(fd.get(), 4) != 0 || std::rename(temporaryPath.c_str(), path_.c_str()) != 0) {
         counters_.add("handover_off");
         return log_.warn("handover", "cannot listen, no handover to a successor process", {{"path", path_}});
     }
@@ -198,10 +201,10 @@
 }
 
 void HandoverServer::onConnection() {
-    FileDescriptor taker(accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
-    if (taker.get() < 0) return;
-    if (successorConnection_.get() >= 0 || !sameUser(taker.get()) ||
-        !give(taker.get(), getSockets_(), exportState_())) {
+    FileDescriptor successor(accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
+    if (successor.get() < 0) return;
+    if (successorConnection_.get() >= 0 || !sameUser(successor.get()) ||
+        !sendHandover(successor.get(), getSockets_(), exportState_())) {
         counters_.add("handover_refused");
         return log_.warn(
             "handover", "handover request refused",
@@ -210,7 +213,7 @@
     }
     counters_.add("handover_given");
     log_.info("handover", "sockets handed over to a successor process");
-    successorConnection_ = std::move(taker);
+    successorConnection_ = std::move(successor);
     successorEvent_.reset(event_new(
         base_, successorConnection_.get(), EV_READ | EV_PERSIST,
         [](evutil_socket_t, short, void* self) { static_cast<HandoverServer*>(self)->onSuccessorMessage(); },
@@ -219,11 +222,11 @@
 }
 
 void HandoverServer::onSuccessorMessage() {
-    char said = 0;
-    const ssize_t got = recv(successorConnection_.get(), &said, 1, 0);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (got <= 0) return onSuccessorGone();
-    if (said != kReady || std::exchange(successorTookOver_, true)) return;
+    char message = 0;
+    const ssize_t received = recv(successorConnection_.get(), &message, 1, 0);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) return;
+    if (received <= 0) return onSuccessorGone();
+    if (message != kReadyByte || std::exchange(successorTookOver_, true)) return;
     log_.info("handover", "the successor process accepts clients, this one steps aside");
     onTakeoverChange_(true);
 }
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -56,12 +56,12 @@
 /// Serves handover requests of successors at a path, one successor at a time.
 class HandoverServer {
 public:
-    /// `sockets` returns the open sockets by name. `memory` returns the learned state; once it is called,
-    /// that state belongs to the successor. `aside` is called with true when the successor accepts clients
-    /// and with false when it has exited.
-    HandoverServer(event_base* base, std::string path, std::function<std::map<std::string, int>()> sockets,
-                   std::function<std::string()> memory, std::function<void(bool aside)> aside,
-                   Counters& counters, Log& log);
+    /// `getSockets` returns the open sockets by name. `exportState` returns the learned state; once it is
+    /// called, that state belongs to the successor. `onTakeoverChange` is called with true when the successor
+    /// accepts clients and with false when it has exited.
+    HandoverServer(event_base* base, std::string path, std::function<std::map<std::string, int>()> getSockets,
+                   std::function<std::string()> exportState,
+                   std::function<void(bool tookOver)> onTakeoverChange, Counters& counters, Log& log);
     HandoverServer(const HandoverServer&) = delete;
     HandoverServer& operator=(const HandoverServer&) = delete;
 
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -21,23 +21,23 @@
 namespace martencove {
 namespace {
 
-/// Reads what a client has sent behind the request in work, until `most` bytes are in the buffer from which
-/// evhttp takes the next request. The client's close can be seen only behind these bytes. Returns false if
-/// the client has disconnected.
-bool readEarly(bufferevent* socket, std::size_t most) {
+/// Reads what a client has sent behind the request in work, until `maxBytes` bytes are in the buffer from
+/// which evhttp takes the next request. The client's close can be seen only behind these bytes. Returns false
+/// if the client has disconnected.
+bool readAhead(bufferevent* socket, std::size_t maxBytes) {
     const evutil_socket_t fd = bufferevent_getfd(socket);
     evbuffer* input = bufferevent_get_input(socket);
-    char some[4096];
-    while (evbuffer_get_length(input) < most) {
-        const ssize_t got = recv(fd, some, sizeof some, MSG_DONTWAIT);
-        if (got == 0) return false;
-        if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
+    char chunk[4096];
+    while (evbuffer_get_length(input) < maxBytes) {
+        const ssize_t received = recv(fd, chunk, sizeof chunk, MSG_DONTWAIT);
+        if (received == 0) return false;
+        if (received < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
         evbuffer_unfreeze(input, 0);  // libevent allows only its own reads to append
-        evbuffer_add(input, some, static_cast<std::size_t>(got));
+        evbuffer_add(input, chunk, static_cast<std::size_t>(received));
         evbuffer_freeze(input, 0);
     }
-    pollfd look{fd, POLLRDHUP, 0};  // with bytes left in the kernel, a close shows as POLLRDHUP
-    return poll(&look, 1, 0) <= 0 || (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0;
+    pollfd closeCheck{fd, POLLRDHUP, 0};  // with bytes left in the kernel, a close shows as POLLRDHUP
+    return poll(&closeCheck, 1, 0) <= 0 || (closeCheck.revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0;
 }
 
 }  // namespace
@@ -45,8 +45,8 @@
 /// Handles one client request until its answer is handed to the connection or the client has disconnected.
 class HttpRequestHandler final : public RequestHandler {
 public:
-    HttpRequestHandler(HttpFront& front, evhttp_request* request, DecodedRequest message)
-        : front_(front), request_(request), decodedRequest_(std::move(message)) {
+    HttpRequestHandler(HttpFront& front, evhttp_request* request, DecodedRequest decoded)
+        : front_(front), request_(request), decodedRequest_(std::move(decoded)) {
         // evhttp does not read while a request is in work, so the client's close has to be detected here.
         disconnectWatch_.reset(
             event_new(front.base_, bufferevent_getfd(clientBufferevent()), EV_READ, onClientReadable, this));
@@ -61,46 +61,46 @@
 
     void sendAttempt(const Attempt& attempt, const NodeEntry& node) override {
         NodeRequest request = decodedRequest_.nodeRequest;
-        const int number = attempt.number;
+        const int attemptNumber = attempt.number;
         const auto address = parseAddress(node.address);
         auto stream = std::make_unique<ResponseStream>(
             front_.pool_, front_.limits_, front_.dispatcher_.counters(),
             ResponseStream::Callbacks{
-                [this, number] { return streamStarted(number); },
-                [this, number](NodeReply reply) { attemptEnded(number, std::move(reply)); }});
+                [this, attemptNumber] { return streamStarted(attemptNumber); },
+                [this, attemptNumber](NodeReply reply) { attemptEnded(attemptNumber, std::move(reply)); }});
         // No streaming to HTTP/1.0 clients: they cannot tell a truncated answer from a complete one.
         if (request_ != nullptr && request_->major == 1 && request_->minor >= 1) request.sink = stream.get();
         if (!address || !stream->startAttempt(*address, request, attempt.timeouts))
-            return front_.dispatcher_.attemptEnded(id(), number, AttemptStatus::notConnected);
-        streams_[number] = std::move(stream);
+            return front_.dispatcher_.attemptEnded(id(), attemptNumber, AttemptStatus::notConnected);
+        streams_[attemptNumber] = std::move(stream);
     }
 
-    void cancelAttempt(int attempt) override { streams_.erase(attempt); }
+    void cancelAttempt(int attemptNumber) override { streams_.erase(attemptNumber); }
 
-    bool cancelIfUnsent(int attempt) override { return eraseIfUnsent(streams_, attempt); }
+    bool cancelIfUnsent(int attemptNumber) override { return eraseIfUnsent(streams_, attemptNumber); }
 
     /// Called when a long response begins. The dispatcher counts the request as served, so that no further
     /// attempt is made; the client's connection takes over the stream. Returns whether the stream goes on.
-    bool streamStarted(int attempt) {
-        const auto at = streams_.find(attempt);
-        startedStream_ = std::move(at->second);
-        streams_.erase(at);
+    bool streamStarted(int attemptNumber) {
+        const auto started = streams_.find(attemptNumber);
+        startedStream_ = std::move(started->second);
+        streams_.erase(started);
         HttpFront& front = front_;
         const ResponseStream* stream = startedStream_.get();
         evhttp_connection* connection =
             request_ == nullptr ? nullptr : evhttp_request_get_connection(request_);
-        front.dispatcher_.attemptEnded(RequestId(id()), attempt,
+        front.dispatcher_.attemptEnded(RequestId(id()), attemptNumber,
                                        AttemptStatus::served);  // may free this object
         const auto client = front.connections_.find(connection);
         return client != front.connections_.end() && client->second.stream.get() == stream;
     }
 
-    void attemptEnded(int attempt, NodeReply reply) {
-        const AttemptStatus ending = reply.status;
-        if (ending == AttemptStatus::served && servedReply_.status != AttemptStatus::served)
+    void attemptEnded(int attemptNumber, NodeReply reply) {
+        const AttemptStatus status = reply.status;
+        if (status == AttemptStatus::served && servedReply_.status != AttemptStatus::served)
             servedReply_ = std::move(reply);
-        streams_.erase(attempt);
-        front_.dispatcher_.attemptEnded(RequestId(id()), attempt, ending);
+        streams_.erase(attemptNumber);
+        front_.dispatcher_.attemptEnded(RequestId(id()), attemptNumber, status);
     }
 
     void sendAnswer(const Answer& answer) override {
@@ -110,10 +110,10 @@
             auto& client = front_.connections_.at(evhttp_request_get_connection(request));
             client.stream = std::move(startedStream_);
             front_.decideConnectionClose(request);
-            return client.stream->sendHeaders(request,
-                                              [front = &front_](evhttp_connection* connection, bool whole) {
-                                                  front->streamDone(connection, whole);
-                                              });
+            return client.stream->sendHeaders(
+                request, [front = &front_](evhttp_connection* connection, bool complete) {
+                    front->streamDone(connection, complete);
+                });
         }
         evkeyvalq* headers = evhttp_request_get_output_headers(request);
         switch (answer.status) {
@@ -149,10 +149,10 @@
         disconnectWatch_.reset();
         evhttp_request* request = std::exchange(request_, nullptr);
         if (request == nullptr) return nullptr;
-        const auto at = front_.connections_.find(evhttp_request_get_connection(request));
-        if (at != front_.connections_.end()) {
-            at->second.handler = nullptr;
-            at->second.lastUsedMs = front_.dispatcher_.nowMs();
+        const auto client = front_.connections_.find(evhttp_request_get_connection(request));
+        if (client != front_.connections_.end()) {
+            client->second.handler = nullptr;
+            client->second.lastUsedMs = front_.dispatcher_.nowMs();
         }
         return request;
     }
@@ -163,14 +163,15 @@
 
     static void onClientReadable(evutil_socket_t, short, void* arg) {
         auto* self = static_cast<HttpRequestHandler*>(arg);
-        const std::size_t most = self->front_.limits_.maxReadAheadBytes;
-        if (readEarly(self->clientBufferevent(), most)) {
+        const std::size_t maxBytes = self->front_.limits_.maxReadAheadBytes;
+        if (readAhead(self->clientBufferevent(), maxBytes)) {
             // With the buffer full the socket would stay readable, so it is checked by a timer instead.
-            const bool full = evbuffer_get_length(bufferevent_get_input(self->clientBufferevent())) >= most;
+            const bool full =
+                evbuffer_get_length(bufferevent_get_input(self->clientBufferevent())) >= maxBytes;
             if (full)
                 event_assign(self->disconnectWatch_.get(), self->front_.base_, -1, 0, onClientReadable, self);
-            const timeval soon = toTimeval(self->front_.limits_.readAheadCheckIntervalMs);
-            event_add(self->disconnectWatch_.get(), full ? &soon : nullptr);
+            const timeval checkInterval = toTimeval(self->front_.limits_.readAheadCheckIntervalMs);
+            event_add(self->disconnectWatch_.get(), full ? &checkInterval : nullptr);
             return;
         }
         // Closing the connection also frees the request.
@@ -194,14 +195,14 @@
 namespace {
 
 /// Returns whether the socket has unread bytes. They may be a request, which closing the socket would lose.
-bool unread(bufferevent* socket) {
-    int waiting = 0;
-    return ioctl(bufferevent_getfd(socket), FIONREAD, &waiting) != 0 || waiting > 0;
+bool hasUnreadBytes(bufferevent* socket) {
+    int unreadBytes = 0;
+    return ioctl(bufferevent_getfd(socket), FIONREAD, &unreadBytes) != 0 || unreadBytes > 0;
 }
 
 /// Returns whether the socket has unread bytes, or the input buffer has bytes that were not processed.
 bool hasInput(bufferevent* socket) {
-    return unread(socket) || evbuffer_get_length(bufferevent_get_input(socket)) > 0;
+    return hasUnreadBytes(socket) || evbuffer_get_length(bufferevent_get_input(socket)) > 0;
 }
 
 /// Returns whether output is still to be written.
@@ -209,14 +210,15 @@
 
 /// Returns whether evhttp closes the connection once the request's answer is written.
 bool endsWithAnswer(evhttp_request* request) {
-    const auto says = [](evkeyvalq* headers, const char* word) {
+    const auto hasConnectionOption = [](evkeyvalq* headers, const char* option) {
         const char* value = evhttp_find_header(headers, "Connection");
-        return value != nullptr && equalsIgnoreCase(value, word);
+        return value != nullptr && equalsIgnoreCase(value, option);
     };
-    evkeyvalq* asked = evhttp_request_get_input_headers(request);
-    const bool old = request->major < 1 || (request->major == 1 && request->minor < 1);
-    return says(evhttp_request_get_output_headers(request), "close") || says(asked, "close") ||
-           (old && !says(asked, "keep-alive"));
+    evkeyvalq* requestHeaders = evhttp_request_get_input_headers(request);
+    const bool isHttp10 = request->major < 1 || (request->major == 1 && request->minor < 1);
+    return hasConnectionOption(evhttp_request_get_output_headers(request), "close") ||
+           hasConnectionOption(requestHeaders, "close") ||
+           (isHttp10 && !hasConnectionOption(requestHeaders, "keep-alive"));
 }
 
 /// Closes a connection at once by firing its read timeout. After a plain shutdown of the socket evhttp would
@@ -227,8 +229,8 @@
 
 /// Returns whether a connection waits to be accepted.
 bool connectionWaits(evutil_socket_t listener) {
-    pollfd look{listener, POLLIN, 0};
-    return poll(&look, 1, 0) > 0;
+    pollfd pending{listener, POLLIN, 0};
+    return poll(&pending, 1, 0) > 0;
 }
 
 constexpr std::string_view kPartialRefusal =
@@ -236,7 +238,7 @@
 
 }  // namespace
 
-HttpFront::InputTracker::InputTracker(bufferevent* b) : buffers(b) {
+HttpFront::InputTracker::InputTracker(bufferevent* connection) : buffers(connection) {
     evbuffer_add_cb(bufferevent_get_input(buffers), onInput, this);
 }
 
@@ -258,17 +260,17 @@
 
 // Unread bytes may complete the request, so evhttp has to read them first.
 bool HttpFront::InputTracker::hasPartialRequest() const {
-    const bool come = requestStarted || evbuffer_get_length(bufferevent_get_input(buffers)) > 0;
-    return come && !unread(buffers) && !hasOutput(buffers);
+    const bool hasBytes = requestStarted || evbuffer_get_length(bufferevent_get_input(buffers)) > 0;
+    return hasBytes && !hasUnreadBytes(buffers) && !hasOutput(buffers);
 }
 
 HttpFront::HttpFront(event_base* base, const Address& listen, Dispatcher& dispatcher,
-                     HttpNodeConnectionPool& pool, const limedrum::ProgramSettings& site,
+                     HttpNodeConnectionPool& pool, const limedrum::ProgramSettings& settings,
                      const Limits& limits, Log& log, int listener)
     : base_(base),
       dispatcher_(dispatcher),
       pool_(pool),
-      settings_(site),
+      settings_(settings),
       limits_(limits),
       log_(log),
       connectionCheckTimer_(base, [this] { checkConnections(); }),
@@ -304,10 +306,11 @@
 
 void HttpFront::closeFinishedConnections(bool refusePartial) {
     closeIdleConnections(connections_.size(), 0);
-    const double before = dispatcher_.nowMs() - limits_.shutdownFirstRequestTimeoutMs;
+    const double acceptedBefore = dispatcher_.nowMs() - limits_.shutdownFirstRequestTimeoutMs;
     std::vector<bufferevent*> silent;
-    for (const auto& [buffers, unheard] : newConnections_)
-        if (unheard.acceptedAtMs <= before && unheard.input->isIdle()) silent.push_back(buffers);
+    for (const auto& [buffers, connection] : newConnections_)
+        if (connection.acceptedAtMs <= acceptedBefore && connection.input->isIdle())
+            silent.push_back(buffers);
     for (bufferevent* buffers : silent) timeOut(buffers);
     if (refusePartial) refusePartialRequests();
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
@@ -318,20 +321,20 @@
         dispatcher_.counters().add("request_partial_refused");
         (void)send(bufferevent_getfd(buffers), kPartialRefusal.data(), kPartialRefusal.size(), MSG_NOSIGNAL);
     };
-    std::vector<evhttp_connection*> used;
+    std::vector<evhttp_connection*> partial;
     for (auto& [connection, client] : connections_) {
         if (client.isBusy() || !client.input->hasPartialRequest()) continue;
         refuse(client.input->buffers);
         client.lingerOnClose = true;
-        used.push_back(connection);
+        partial.push_back(connection);
     }
-    for (evhttp_connection* connection : used) evhttp_connection_free(connection);
-    for (auto& [buffers, unheard] : newConnections_) {
-        if (closedByEvhttp(buffers) || !unheard.input->hasPartialRequest()) continue;
+    for (evhttp_connection* connection : partial) evhttp_connection_free(connection);
+    for (auto& [buffers, newConnection] : newConnections_) {
+        if (closedByEvhttp(buffers) || !newConnection.input->hasPartialRequest()) continue;
         refuse(buffers);
         timeOut(buffers);
-        unheard.input.reset();
-        lingeringCloses_.add(std::move(unheard.buffers));
+        newConnection.input.reset();
+        lingeringCloses_.add(std::move(newConnection.buffers));
     }
     std::erase_if(newConnections_, [](const auto& e) { return e.second.buffers == nullptr; });
 }
@@ -350,36 +353,37 @@
 bool HttpFront::isDrained() const {
     return connections_.empty() && lingeringCloses_.allDelivered() &&
            std::all_of(newConnections_.begin(), newConnections_.end(),
-                       [](const auto& u) { return closedByEvhttp(u.first); });
+                       [](const auto& entry) { return closedByEvhttp(entry.first); });
 }
 
-void HttpFront::closeIdleConnections(std::size_t most, double idleMs) {
+void HttpFront::closeIdleConnections(std::size_t maxCount, double idleMs) {
     std::vector<std::pair<double, evhttp_connection*>> idle;
     for (const auto& [connection, client] : connections_) {
         if (client.lastUsedMs <= dispatcher_.nowMs() - idleMs && client.isIdle())
             idle.emplace_back(client.lastUsedMs, connection);
     }
     std::sort(idle.begin(), idle.end());
-    idle.resize(std::min(idle.size(), most));
-    for (const auto& [usedMs, connection] : idle) evhttp_connection_free(connection);
+    idle.resize(std::min(idle.size(), maxCount));
+    for (const auto& [lastUsedMs, connection] : idle) evhttp_connection_free(connection);
 }
 
-void HttpFront::closeSilentConnections(std::size_t most, double silentMs) {
-    const double before = dispatcher_.nowMs() - silentMs;
+void HttpFront::closeSilentConnections(std::size_t maxCount, double silentMs) {
+    const double silentSince = dispatcher_.nowMs() - silentMs;
     std::vector<std::pair<double, bufferevent*>> silent;
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
-    for (const auto& [buffers, unheard] : newConnections_) {
-        if (unheard.acceptedAtMs <= before && !unread(buffers))
-            silent.emplace_back(unheard.acceptedAtMs, buffers);
+    for (const auto& [buffers, newConnection] : newConnections_) {
+        if (newConnection.acceptedAtMs <= silentSince && !hasUnreadBytes(buffers))
+            silent.emplace_back(newConnection.acceptedAtMs, buffers);
     }
     // This includes clients that send a request piece by piece: each piece restarts evhttp's own timeout.
     for (const auto& [connection, client] : connections_) {
         bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
-        if (!client.isBusy() && client.lastUsedMs <= before - limits_.clientIdleTimeoutMs && !unread(buffers))
+        if (!client.isBusy() && client.lastUsedMs <= silentSince - limits_.clientIdleTimeoutMs &&
+            !hasUnreadBytes(buffers))
             silent.emplace_back(client.lastUsedMs, buffers);
     }
     std::sort(silent.begin(), silent.end());
-    silent.resize(std::min(silent.size(), most));
+    silent.resize(std::min(silent.size(), maxCount));
     for (const auto& [sinceMs, buffers] : silent) timeOut(buffers);
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
     if (!silent.empty()) dispatcher_.counters().add("client_silent", silent.size());
@@ -444,10 +448,10 @@
 bufferevent* HttpFront::onAccept(event_base* base, void* arg) {
     auto* self = static_cast<HttpFront*>(arg);
     self->dispatcher_.counters().add("client_connection");
-    BuffereventRef held = newBufferevent(base);
-    if (!held) return nullptr;
-    bufferevent* buffers = held.get();
-    self->newConnections_[buffers] = {std::move(held), self->dispatcher_.nowMs(),
+    BuffereventRef connection = newBufferevent(base);
+    if (!connection) return nullptr;
+    bufferevent* buffers = connection.get();
+    self->newConnections_[buffers] = {std::move(connection), self->dispatcher_.nowMs(),
                                       std::make_unique<InputTracker>(buffers)};
     if (self->atConnectionLimit()) {  // before the next connection is accepted
         self->setAccepting(false);
@@ -458,15 +462,16 @@
 
 void HttpFront::onConnectionClosed(evhttp_connection* connection, void* arg) {
     auto* self = static_cast<HttpFront*>(arg);
-    const auto at = self->connections_.find(connection);
-    if (at == self->connections_.end()) return;
-    HttpRequestHandler* job = at->second.handler;
-    evhttp_request* passing = at->second.stream ? at->second.stream->request() : nullptr;
-    if (at->second.lingerOnClose) self->lingeringCloses_.add(std::move(at->second.buffers));
-    self->connections_.erase(at);
+    const auto client = self->connections_.find(connection);
+    if (client == self->connections_.end()) return;
+    HttpRequestHandler* handler = client->second.handler;
+    evhttp_request* streamedRequest = client->second.stream ? client->second.stream->request() : nullptr;
+    if (client->second.lingerOnClose) self->lingeringCloses_.add(std::move(client->second.buffers));
+    self->connections_.erase(client);
     // evhttp has detached a request whose connection broke by itself; it has to be freed here.
-    if (passing != nullptr && evhttp_request_get_connection(passing) == nullptr) evhttp_request_free(passing);
-    if (job != nullptr) job->clientDisconnected();
+    if (streamedRequest != nullptr && evhttp_request_get_connection(streamedRequest) == nullptr)
+        evhttp_request_free(streamedRequest);
+    if (handler != nullptr) handler->clientDisconnected();
 }
 
 void HttpFront::onRequest(evhttp_request* request, void* self) {
@@ -477,51 +482,51 @@
     evhttp_connection* connection = evhttp_request_get_connection(request);
     const char* uri = evhttp_request_get_uri(request);
     const std::string path = uri == nullptr ? "" : uri;
-    const auto [client, fresh] = connections_.try_emplace(connection);
+    const auto [client, isNew] = connections_.try_emplace(connection);
     client->second.lastUsedMs = dispatcher_.nowMs();
-    if (fresh) {
+    if (isNew) {
         evhttp_connection_set_closecb(connection, onConnectionClosed, this);
         bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
-        auto unheard =
+        auto newConnection =
             newConnections_.extract(buffers);  // empty if onAccept() could not allocate a bufferevent
         client->second.input =
-            unheard ? std::move(unheard.mapped().input) : std::make_unique<InputTracker>(buffers);
-        if (unheard) client->second.buffers = std::move(unheard.mapped().buffers);
+            newConnection ? std::move(newConnection.mapped().input) : std::make_unique<InputTracker>(buffers);
+        if (newConnection) client->second.buffers = std::move(newConnection.mapped().buffers);
         setTcpNoDelay(bufferevent_getfd(buffers));
     }
     client->second.lingerOnClose = false;
     // Bytes behind this request are the beginning of the next one.
     const evbuffer* input = bufferevent_get_input(evhttp_connection_get_bufferevent(connection));
     client->second.input->requestStarted = evbuffer_get_length(input) > 0;
-    std::string wrong;
-    if (!validateFraming(request, wrong)) return rejectMalformed(request, wrong);
+    std::string error;
+    if (!validateFraming(request, error)) return rejectMalformed(request, error);
     if (path == "/healthz" && (evacuating() || (readinessCheck_ && !readinessCheck_())))
         return sendReply(request, 503, "Service Unavailable", evacuating() ? "evacuated\n" : "no nodes\n");
     if (path == "/healthz") return sendReply(request, 200, "OK", "ok\n");
     if (path == "/counters") return sendReply(request, 200, "OK", dispatcher_.counters().toText());
     if (const auto page = pages_.find(path); page != pages_.end())
         return sendReply(request, 200, "OK", page->second());
-    auto message = decodeRequest(request, settings_, dispatcher_.nowMs(), wrong);
-    if (!message) return rejectMalformed(request, wrong);
+    auto decoded = decodeRequest(request, settings_, dispatcher_.nowMs(), error);
+    if (!decoded) return rejectMalformed(request, error);
     // A client that pipelines requests may have disconnected by the time its next one is taken.
-    if (!readEarly(evhttp_connection_get_bufferevent(connection), limits_.maxReadAheadBytes)) {
+    if (!readAhead(evhttp_connection_get_bufferevent(connection), limits_.maxReadAheadBytes)) {
         dispatcher_.counters().add("client_gone_untaken");
         evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
         return sendReply(request, 503, "Service Unavailable");
     }
-    const Request decoded = message->request;
-    const auto job = std::make_shared<HttpRequestHandler>(*this, request, std::move(*message));
-    client->second.handler = job.get();
-    if (dispatcher_.submit(decoded, job)) return;
+    const Request dispatched = decoded->request;
+    const auto handler = std::make_shared<HttpRequestHandler>(*this, request, std::move(*decoded));
+    client->second.handler = handler.get();
+    if (dispatcher_.submit(dispatched, handler)) return;
     // The dispatcher has not accepted the request and keeps no state of it.
     dispatcher_.counters().add("request_not_taken");
-    job->sendAnswer({decoded.id, AnswerStatus::refused, limits_.overloadRetryAfterMs});
+    handler->sendAnswer({dispatched.id, AnswerStatus::refused, limits_.overloadRetryAfterMs});
 }
 
 // What follows a malformed request may not be a request at all, so the connection is closed after the answer.
-void HttpFront::rejectMalformed(evhttp_request* request, const std::string& wrong) {
+void HttpFront::rejectMalformed(evhttp_request* request, const std::string& error) {
     dispatcher_.counters().add("request_malformed");
-    log_.warn("client", "malformed request", {{"reason", wrong}});
+    log_.warn("client", "malformed request", {{"reason", error}});
     evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
     sendReply(request, 400, "Bad Request");
 }
@@ -537,13 +542,13 @@
 // follows was not processed.
 void HttpFront::decideConnectionClose(evhttp_request* request) {
     evhttp_connection* connection = evhttp_request_get_connection(request);
-    const auto at = connections_.find(connection);
-    if (at == connections_.end()) return;
-    Client& client = at->second;
+    const auto found = connections_.find(connection);
+    if (found == connections_.end()) return;
+    Client& client = found->second;
     if (shouldCloseConnections() && !endsWithAnswer(request)) {
-        const bool behind = hasInput(evhttp_connection_get_bufferevent(connection)) &&
-                            client.answersWhileClosing < limits_.maxRequestsWhileClosing;
-        if (behind)
+        const bool keepOpen = hasInput(evhttp_connection_get_bufferevent(connection)) &&
+                              client.answersWhileClosing < limits_.maxRequestsWhileClosing;
+        if (keepOpen)
             ++client.answersWhileClosing;
         else
             evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
@@ -558,12 +563,12 @@
 }
 
 // The client detects a truncated answer by the missing bytes of Content-Length or by the missing last chunk.
-void HttpFront::streamDone(evhttp_connection* connection, bool whole) {
+void HttpFront::streamDone(evhttp_connection* connection, bool complete) {
     const auto client = connections_.find(connection);
     if (client == connections_.end()) return;
     const std::unique_ptr<ResponseStream> stream = std::move(client->second.stream);
     client->second.lastUsedMs = dispatcher_.nowMs();
-    if (!whole) {
+    if (!complete) {
         dispatcher_.counters().add("answer_cut");
         return evhttp_connection_free(connection);
     }
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -25,7 +25,7 @@
     /// `listener`: a socket that already listens at `listen`; -1: binds a new one. Throws std::runtime_error
     /// if `listen` cannot be bound.
     HttpFront(event_base* base, const Address& listen, Dispatcher& dispatcher, HttpNodeConnectionPool& pool,
-              const limedrum::ProgramSettings& site, const Limits& limits, Log& log, int listener = -1);
+              const limedrum::ProgramSettings& settings, const Limits& limits, Log& log, int listener = -1);
     ~HttpFront();
     HttpFront(const HttpFront&) = delete;
     HttpFront& operator=(const HttpFront&) = delete;
@@ -44,8 +44,8 @@
     /// Leaves new connections in the listener's queue until resumeAccepting().
     void pauseAccepting();
     void resumeAccepting();
-    /// `on`: sends clients away. /healthz answers 503, each answer closes its connection, and idle connections
-    /// are closed after `evacuateCloseDelayMs`, by when new ones have stopped coming.
+    /// `on`: sends clients away. /healthz answers 503, each answer closes its connection, and idle
+    /// connections are closed after `evacuateCloseDelayMs`, by when new ones have stopped coming.
     void setEvacuating(bool on);
     [[nodiscard]] bool evacuating() const { return evacuatingSinceMs_.has_value(); }
     /// From now on each answer closes its connection.
@@ -72,7 +72,7 @@
     static void onConnectionClosed(evhttp_connection* connection, void* self);
     void handleRequest(evhttp_request* request);
     void sendReply(evhttp_request* request, int code, const char* reason, std::string body = "");
-    void rejectMalformed(evhttp_request* request, const std::string& wrong);
+    void rejectMalformed(evhttp_request* request, const std::string& error);
     /// Adds "Connection: close" to the answer if its connection should be closed after it.
     void decideConnectionClose(evhttp_request* request);
     /// Returns whether answers should close their connections.
@@ -80,14 +80,14 @@
     /// Answers requests that have arrived in part with 503 and closes their connections. Such requests never
     /// ran.
     void refusePartialRequests();
-    /// Ends a streamed answer. If it is not whole, closes the connection.
-    void streamDone(evhttp_connection* connection, bool whole);
-    /// Closes at most `most` connections that have been idle for `idleMs` or longer, the longest idle first.
-    /// Their clients can reconnect.
-    void closeIdleConnections(std::size_t most, double idleMs);
-    /// Closes at most `most` connections without a complete request since they were accepted `silentMs` or
-    /// longer ago, or, after a request, for `silentMs` plus the idle timeout. The longest silent go first.
-    void closeSilentConnections(std::size_t most, double silentMs);
+    /// Ends a streamed answer. If it is not complete, closes the connection.
+    void streamDone(evhttp_connection* connection, bool complete);
+    /// Closes at most `maxCount` connections that have been idle for `idleMs` or longer, the longest idle
+    /// first. Their clients can reconnect.
+    void closeIdleConnections(std::size_t maxCount, double idleMs);
+    /// Closes at most `maxCount` connections without a complete request since they were accepted `silentMs`
+    /// or longer ago, or, after a request, for `silentMs` plus the idle timeout. The longest silent go first.
+    void closeSilentConnections(std::size_t maxCount, double silentMs);
     /// Returns whether too many descriptors or connections are in use to accept another connection.
     bool atConnectionLimit() const;
     void setAccepting(bool on);
@@ -109,7 +109,7 @@
     /// input buffer alone does not tell, since evhttp removes the headers from it before the body has
     /// arrived.
     struct InputTracker {
-        explicit InputTracker(bufferevent* b);
+        explicit InputTracker(bufferevent* connection);
         ~InputTracker();
         InputTracker(const InputTracker&) = delete;
         InputTracker& operator=(const InputTracker&) = delete;
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -18,16 +18,16 @@
     NodeRequest nodeRequest;
 };
 
-/// Returns whether the request's end and its fields are unambiguous; if not, `wrong` names the fault. evhttp
+/// Returns whether the request's end and its fields are unambiguous; if not, `error` names the fault. evhttp
 /// accepts ambiguous requests: Content-Length together with Transfer-Encoding, duplicate fields, and a body
 /// after a GET, which it then reads as the next request.
-[[nodiscard]] bool validateFraming(evhttp_request* from, std::string& wrong);
+[[nodiscard]] bool validateFraming(evhttp_request* request, std::string& error);
 
-/// Decodes the request. Returns nothing for a request that violates the protocol; `wrong` then names the
+/// Decodes the request. Returns nothing for a request that violates the protocol; `error` then names the
 /// invalid part. `nowMs`: the present time in milliseconds, to which the deadline is added.
-[[nodiscard]] std::optional<DecodedRequest> decodeRequest(evhttp_request* from,
-                                                          const limedrum::ProgramSettings& site, double nowMs,
-                                                          std::string& wrong);
+[[nodiscard]] std::optional<DecodedRequest> decodeRequest(evhttp_request* request,
+                                                          const limedrum::ProgramSettings& settings,
+                                                          double nowMs, std::string& error);
 
 /// The values of an IO-Info header such as "units=2,shard=5,hosts=3".
 struct IoInfo {
--- a/src/http/node_connection.h
+++ b/src/http/node_connection.h
@@ -52,10 +52,10 @@
 
     ~HttpNodeConnection() override { accountBufferedBytes(0); }
 
-    /// Returns whether the connection can carry a request to the node at `to`.
-    [[nodiscard]] bool matches(const Address& to, const NodeRequest&) const { return address() == to; }
+    /// Returns whether the connection can carry a request to `node`.
+    [[nodiscard]] bool matches(const Address& node, const NodeRequest&) const { return address() == node; }
     /// Sends the request, at once if connected, otherwise as soon as the connection is established.
-    void start(const NodeRequest& request, const AttemptTimeouts& times, DoneCallback over);
+    void start(const NodeRequest& request, const AttemptTimeouts& timeouts, DoneCallback done);
     /// Returns the request that waits for the connection to be established; there must be one.
     [[nodiscard]] const NodeRequest& pendingRequest() const { return *pendingRequest_; }
     /// Moves the waiting request to a connection that is established.
@@ -68,9 +68,9 @@
 
     /// Updates the global counter of buffered response bytes with this connection's share.
     void accountBufferedBytes(std::size_t bytes);
-    /// Forwards the received part of a long response to the sink. `whole`: the response is complete. Returns
-    /// false if this connection may have been freed.
-    [[nodiscard]] bool forwardToSink(bool whole);
+    /// Forwards the received part of a long response to the sink. `complete`: the whole response has arrived.
+    /// Returns false if this connection may have been freed.
+    [[nodiscard]] bool forwardToSink(bool complete);
 
     std::optional<NodeRequest> pendingRequest_;  // waits for the connection
     std::optional<HttpResponseParser> parser_;   // of the current request
--- a/src/http/response_parser.cpp
+++ b/src/http/response_parser.cpp
@@ -8,9 +8,9 @@
 namespace martencove {
 
 HttpResponseParser::ParseResult HttpResponseParser::parse(std::string_view& in) {
-    ParseResult got = ParseResult::complete;
-    while (got == ParseResult::complete && state_ != State::done) got = parseNext(in);
-    return got;
+    ParseResult result = ParseResult::complete;
+    while (result == ParseResult::complete && state_ != State::done) result = parseNext(in);
+    return result;
 }
 
 HttpResponseParser::ParseResult HttpResponseParser::parseNext(std::string_view& in) {
@@ -21,20 +21,20 @@
     }
     if (state_ == State::body) return readBody(in, State::done);
     if (state_ == State::chunkData) return readBody(in, State::chunkDataEnd);
-    if (const ParseResult got = readLine(in); got != ParseResult::complete) return got;
-    ParseResult got = ParseResult::complete;
+    if (const ParseResult result = readLine(in); result != ParseResult::complete) return result;
+    ParseResult result = ParseResult::complete;
     switch (state_) {
         case State::statusLine:
-            got = parseStatusLine();
+            result = parseStatusLine();
             break;
         case State::headers:
-            got = line_.empty() ? finishHeaders() : parseHeader();
+            result = line_.empty() ? finishHeaders() : parseHeader();
             break;
         case State::chunkSize:
-            got = parseChunkSize();
+            result = parseChunkSize();
             break;
         case State::chunkDataEnd:
-            got = line_.empty() ? ParseResult::complete : ParseResult::invalid;
+            result = line_.empty() ? ParseResult::complete : ParseResult::invalid;
             state_ = State::chunkSize;
             break;
         case State::trailers:
@@ -44,20 +44,20 @@
             break;
     }
     line_.clear();
-    return got;
+    return result;
 }
 
 // Reads up to the end of a line. Lines end with CR LF and contain neither character elsewhere.
 HttpResponseParser::ParseResult HttpResponseParser::readLine(std::string_view& in) {
     const std::size_t end = std::min(in.find('\n'), in.size());
-    const std::size_t taken = std::min(end + 1, in.size());
-    headerBytes_ += taken;
-    line_ += in.substr(0, taken);
-    in.remove_prefix(taken);
+    const std::size_t consumed = std::min(end + 1, in.size());
+    headerBytes_ += consumed;
+    line_ += in.substr(0, consumed);
+    in.remove_prefix(consumed);
     if (headerBytes_ > limits_.maxHeaderBytes) return ParseResult::invalid;
-    constexpr std::string_view kVersion = "HTTP/1.";
-    const std::size_t seen = std::min(line_.size(), kVersion.size());
-    if (state_ == State::statusLine && line_.compare(0, seen, kVersion, 0, seen) != 0)
+    constexpr std::string_view kVersionPrefix = "HTTP/1.";
+    const std::size_t prefixLength = std::min(line_.size(), kVersionPrefix.size());
+    if (state_ == State::statusLine && line_.compare(0, prefixLength, kVersionPrefix, 0, prefixLength) != 0)
         return ParseResult::invalid;
     if (line_.empty() || line_.back() != '\n') return ParseResult::needMore;
     line_.pop_back();
@@ -106,15 +106,15 @@
         state_ = State::statusLine;
         return ParseResult::complete;
     }
-    const bool none = statusCode == 204 || statusCode == 304;
+    const bool noBody = statusCode == 204 || statusCode == 304;
     if (hasContentLength_ && chunked_) return ParseResult::invalid;
-    if (!none && !hasContentLength_ && !chunked_) {
+    if (!noBody && !hasContentLength_ && !chunked_) {
         keepAlive = false;
         state_ = State::untilClose;
         return ParseResult::complete;
     }
     if (remainingBytes_ > limits_.maxStreamedAnswerBytes) return ParseResult::invalid;
-    state_ = none ? State::done : chunked_ ? State::chunkSize : State::body;
+    state_ = noBody ? State::done : chunked_ ? State::chunkSize : State::body;
     return ParseResult::complete;
 }
 
@@ -130,10 +130,11 @@
 }
 
 HttpResponseParser::ParseResult HttpResponseParser::readBody(std::string_view& in, State next) {
-    const std::size_t taken = static_cast<std::size_t>(std::min<std::uint64_t>(remainingBytes_, in.size()));
-    body += in.substr(0, taken);
-    in.remove_prefix(taken);
-    remainingBytes_ -= taken;
+    const std::size_t consumed =
+        static_cast<std::size_t>(std::min<std::uint64_t>(remainingBytes_, in.size()));
+    body += in.substr(0, consumed);
+    in.remove_prefix(consumed);
+    remainingBytes_ -= consumed;
     if (remainingBytes_ > 0) return ParseResult::needMore;
     state_ = next;
     return ParseResult::complete;
--- a/src/http/response_stream.cpp
+++ b/src/http/response_stream.cpp
@@ -6,34 +6,35 @@
 namespace {
 
 /// A response body in a client's output buffer, which frees it once it is written.
-struct Leaving {
+struct AccountedBody {
     std::string body;
     Counters& counters;
 
-    Leaving(std::string b, Counters& c) : body(std::move(b)), counters(c) {
+    AccountedBody(std::string text, Counters& counterSet) : body(std::move(text)), counters(counterSet) {
         counters.answerBytes += body.size();
     }
-    ~Leaving() { counters.answerBytes -= body.size(); }
-    Leaving(const Leaving&) = delete;
-    Leaving& operator=(const Leaving&) = delete;
+    ~AccountedBody() { counters.answerBytes -= body.size(); }
+    AccountedBody(const AccountedBody&) = delete;
+    AccountedBody& operator=(const AccountedBody&) = delete;
 };
 
 }  // namespace
 
-void addAccountedBody(evbuffer* by, std::string body, Counters& counters) {
+void addAccountedBody(evbuffer* buffer, std::string body, Counters& counters) {
     if (body.empty()) return;
-    auto leaving = std::make_unique<Leaving>(std::move(body), counters);
-    const std::string& text = leaving->body;
+    auto accounted = std::make_unique<AccountedBody>(std::move(body), counters);
+    const std::string& text = accounted->body;
     if (evbuffer_add_reference(
-            by, text.data(), text.size(),
-            [](const void*, std::size_t, void* arg) { delete static_cast<Leaving*>(arg); },
-            leaving.get()) == 0)
-        (void)leaving.release();  // owned by the buffer now
+            buffer, text.data(), text.size(),
+            [](const void*, std::size_t, void* arg) { delete static_cast<AccountedBody*>(arg); },
+            accounted.get()) == 0)
+        (void)accounted.release();  // owned by the buffer now
 }
 
 bool ResponseStream::startAttempt(const Address& node, const NodeRequest& request,
-                                  const AttemptTimeouts& times) {
-    exchange_ = pool_.send(node, request, times, [this](NodeReply reply) { attemptEnded(std::move(reply)); });
+                                  const AttemptTimeouts& timeouts) {
+    exchange_ =
+        pool_.send(node, request, timeouts, [this](NodeReply reply) { attemptEnded(std::move(reply)); });
     return exchange_ != nullptr;
 }
 
@@ -41,14 +42,14 @@
 // while a response is streamed.
 void ResponseStream::setClientTimeouts(bool reading) {
     const timeval idle = toTimeval(limits_.clientIdleTimeoutMs),
-                  still = toTimeval(limits_.streamStallTimeoutMs);
+                  stall = toTimeval(limits_.streamStallTimeoutMs);
     bufferevent_set_timeouts(evhttp_connection_get_bufferevent(evhttp_request_get_connection(request_)),
-                             reading ? &idle : nullptr, reading ? &idle : &still);
+                             reading ? &idle : nullptr, reading ? &idle : &stall);
 }
 
-void ResponseStream::sendHeaders(evhttp_request* request, DoneCallback passed) {
+void ResponseStream::sendHeaders(evhttp_request* request, DoneCallback done) {
     request_ = request;
-    onDone_ = std::move(passed);
+    onDone_ = std::move(done);
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     if (!contentType_.empty()) evhttp_add_header(headers, "Content-Type", contentType_.c_str());
     if (length_) evhttp_add_header(headers, "Content-Length", std::to_string(*length_).c_str());
@@ -65,8 +66,8 @@
 bool ResponseStream::onHeaders(const std::string& contentType, std::optional<std::uint64_t> length) {
     contentType_ = contentType;
     length_ = length;
-    const auto passes = callbacks_.onStart;  // a copy: the call may free this object
-    return passes();
+    const auto onStart = callbacks_.onStart;  // a copy: the call may free this object
+    return onStart();
 }
 
 // Stops reading from the node while more than `maxStreamBufferBytes` wait to be written to the client.
@@ -90,11 +91,11 @@
 void ResponseStream::attemptEnded(NodeReply reply) {
     // Callbacks are copied, since the call may free this object.
     if (request_ == nullptr) {
-        const auto ended = callbacks_.onEnd;
-        return ended(std::move(reply));
+        const auto onEnd = callbacks_.onEnd;
+        return onEnd(std::move(reply));
     }
-    const auto passed = onDone_;
-    passed(evhttp_request_get_connection(request_), reply.status == AttemptStatus::served);
+    const auto onDone = onDone_;
+    onDone(evhttp_request_get_connection(request_), reply.status == AttemptStatus::served);
 }
 
 }  // namespace martencove
--- a/src/http/response_stream.h
+++ b/src/http/response_stream.h
@@ -16,7 +16,7 @@
 
 /// Appends a response body to a client's output buffer. Its bytes count in Counters::answerBytes until they
 /// are written.
-void addAccountedBody(evbuffer* by, std::string body, Counters& counters);
+void addAccountedBody(evbuffer* buffer, std::string body, Counters& counters);
 
 /// An attempt in flight. A long response is streamed to the client while it arrives: from sendHeaders() on,
 /// the client's connection owns this object and the callbacks of the request's owner are no longer called.
@@ -27,21 +27,22 @@
         std::function<bool()> onStart;         ///< a long response begins; returns whether to stream it
         std::function<void(NodeReply)> onEnd;  ///< the attempt has ended, the response was not streamed
     };
-    /// Called at the end of a streamed response. If it is not whole, the client's connection has to be
+    /// Called at the end of a streamed response. If it is not complete, the client's connection has to be
     /// closed. May free this object.
-    using DoneCallback = std::function<void(evhttp_connection*, bool whole)>;
+    using DoneCallback = std::function<void(evhttp_connection*, bool complete)>;
 
-    ResponseStream(HttpNodeConnectionPool& pool, const Limits& limits, Counters& counters, Callbacks owner)
-        : pool_(pool), limits_(limits), counters_(counters), callbacks_(std::move(owner)) {}
+    ResponseStream(HttpNodeConnectionPool& pool, const Limits& limits, Counters& counters,
+                   Callbacks callbacks)
+        : pool_(pool), limits_(limits), counters_(counters), callbacks_(std::move(callbacks)) {}
 
     /// Sends the request to the node. Returns false if that is not possible; no callback is called then.
     [[nodiscard]] bool startAttempt(const Address& node, const NodeRequest& request,
-                                    const AttemptTimeouts& times);
+                                    const AttemptTimeouts& timeouts);
     /// Returns whether any bytes of the request have been written to the node.
     [[nodiscard]] bool hasSentBytes() const { return exchange_->hasSentBytes(); }
 
     /// Sends status and headers to the client; the body follows through onBodyData().
-    void sendHeaders(evhttp_request* request, DoneCallback passed);
+    void sendHeaders(evhttp_request* request, DoneCallback done);
     /// Ends the response to the client; `request()` is null afterwards.
     void finishResponse();
     /// Returns the client's request, which its connection owns; null before sendHeaders().
--- a/src/http/text.h
+++ b/src/http/text.h
@@ -9,11 +9,11 @@
 
 namespace martencove {
 
-/// Parses a whole number that consists of decimal digits alone. Returns false for anything else, also where
-/// the number does not fit into `out`.
+/// Parses a whole number that consists of decimal digits alone. Returns false for anything else, also
+/// for a number out of the type's range.
 template <typename Number>
-[[nodiscard]] bool parseDecimal(std::string_view text, Number& out) {
-    const auto [next, error] = std::from_chars(text.data(), text.data() + text.size(), out);
+[[nodiscard]] bool parseDecimal(std::string_view text, Number& number) {
+    const auto [next, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     return !text.empty() && text.find_first_not_of("0123456789") == text.npos && error == std::errc{} &&
            next == text.data() + text.size();
 }
@@ -26,9 +26,9 @@
 }
 /// Removes leading and trailing spaces and tabs.
 [[nodiscard]] inline std::string_view trimWhitespace(std::string_view text) {
-    const std::size_t from = std::min(text.find_first_not_of(" \t"), text.size());
-    const std::size_t to = text.find_last_not_of(" \t");
-    return to == text.npos ? std::string_view{} : text.substr(from, to + 1 - from);
+    const std::size_t begin = std::min(text.find_first_not_of(" \t"), text.size());
+    const std::size_t last = text.find_last_not_of(" \t");
+    return last == text.npos ? std::string_view{} : text.substr(begin, last + 1 - begin);
 }
 [[nodiscard]] inline bool equalsIgnoreCase(std::string_view a, std::string_view b) {
     return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
--- a/src/ops/front.cpp
+++ b/src/ops/front.cpp
@@ -9,14 +9,14 @@
 namespace martencove::ops {
 namespace {
 
-/// Answers 200 (`yes`), 405 (`allow` given) or 503, and closes the connection.
-void answer(evhttp_request* request, bool yes, const char* allow = nullptr) {
+/// Answers 200 (`ok`), 405 (`allow` given) or 503, and closes the connection.
+void sendAnswer(evhttp_request* request, bool ok, const char* allow = nullptr) {
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Connection", "close");
     if (allow != nullptr) evhttp_add_header(headers, "Allow", allow);
-    const int code = yes ? 200 : allow != nullptr ? 405 : 503;
+    const int code = ok ? 200 : allow != nullptr ? 405 : 503;
     evhttp_send_reply(request, code,
-                      yes                ? "OK"
+                      ok                 ? "OK"
                       : allow != nullptr ? "Method Not Allowed"
                                          : "Service Unavailable",
                       nullptr);
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-Front::Front(event_base* base, const Address& listen, Callbacks ports, const Clock& clock,
+Front::Front(event_base* base, const Address& listen, Callbacks callbacks, const Clock& clock,
              const Limits& limits, Counters& counters, Log& log)
-    : callbacks_(std::move(ports)),
+    : callbacks_(std::move(callbacks)),
       clock_(clock),
       limits_(limits),
       counters_(counters),
@@ -55,20 +55,20 @@
         self->callers_.pop_front();
         self->counters_.add("ops_crowd");
     }
-    BuffereventRef held = newBufferevent(base);
-    if (!held) return nullptr;
-    bufferevent* buffers = held.get();
+    BuffereventRef connection = newBufferevent(base);
+    if (!connection) return nullptr;
+    bufferevent* buffers = connection.get();
     // Calls have to be answered under any load.
     bufferevent_priority_set(buffers, kHighPriority);
-    self->callers_.push_back({std::move(held), self->clock_.nowMs()});
+    self->callers_.push_back({std::move(connection), self->clock_.nowMs()});
     return buffers;
 }
 
 void Front::closeTimedOutCallers() {
-    std::erase_if(callers_, [](const Caller& c) { return closedByEvhttp(c.buffers.get()); });
+    std::erase_if(callers_, [](const Caller& caller) { return closedByEvhttp(caller.buffers.get()); });
     // evhttp's own timeout restarts with each byte.
-    const double before = clock_.nowMs() - limits_.opsRequestTimeoutMs;
-    while (!callers_.empty() && callers_.front().acceptedAtMs < before) {
+    const double acceptedBefore = clock_.nowMs() - limits_.opsRequestTimeoutMs;
+    while (!callers_.empty() && callers_.front().acceptedAtMs < acceptedBefore) {
         shutdown(bufferevent_getfd(callers_.front().buffers.get()), SHUT_RDWR);
         callers_.pop_front();
         counters_.add("ops_silent");
@@ -87,14 +87,14 @@
     const std::string path = target.substr(0, target.find('?'));
     const auto command = evhttp_request_get_command(request);
     if (path == "/api/ready") {
-        if (command != EVHTTP_REQ_GET && command != EVHTTP_REQ_HEAD) return answer(request, false, "GET");
-        return answer(request, callbacks_.isReady());
+        if (command != EVHTTP_REQ_GET && command != EVHTTP_REQ_HEAD) return sendAnswer(request, false, "GET");
+        return sendAnswer(request, callbacks_.isReady());
     }
     if (path == "/api/evacuate" || path == "/api/rejoin") {
-        if (command != EVHTTP_REQ_PUT) return answer(request, false, "PUT");
+        if (command != EVHTTP_REQ_PUT) return sendAnswer(request, false, "PUT");
         log_.info("ops", "called", {{"call", path}});
         path == "/api/evacuate" ? callbacks_.evacuate() : callbacks_.rejoin();
-        return answer(request, true);
+        return sendAnswer(request, true);
     }
     counters_.add("ops_unknown");
     evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
--- a/src/ops/front.h
+++ b/src/ops/front.h
@@ -27,8 +27,8 @@
 class Front {
 public:
     /// Throws std::runtime_error if the address cannot be bound.
-    Front(event_base* base, const Address& listen, Callbacks ports, const Clock& clock, const Limits& limits,
-          Counters& counters, Log& log);
+    Front(event_base* base, const Address& listen, Callbacks callbacks, const Clock& clock,
+          const Limits& limits, Counters& counters, Log& log);
     Front(const Front&) = delete;
     Front& operator=(const Front&) = delete;
 
