--- a/tests/ops/ops_test.cpp
+++ b/tests/ops/ops_test.cpp
@@ -1,5 +1,4 @@
-// The second address: its calls, callers that say nothing, and a program that sends its clients away and
-// takes them back.
+// Tests of the operations endpoint: its calls, silent callers, and a program that is evacuated and rejoins.
 #include <doctest/doctest.h>
 
 #include "program/program_harness.h"
@@ -38,7 +37,7 @@
 
 }  // namespace
 
-TEST_CASE("ops: the calls, and what is none") {
+TEST_CASE("ops: status codes of the calls, of wrong methods and of unknown paths") {
     Operated t;
     CHECK(t.call("GET", "/api/ready") == 200);
     CHECK(t.call("GET", "/api/evacuate") == 405);
@@ -49,8 +48,8 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against descriptors and answers lost to callers that say nothing.
-TEST_CASE("ops: callers that say nothing, or half a call, keep nobody from an answer") {
+// Guards against silent callers that use up the descriptors or keep others from an answer.
+TEST_CASE("ops: silent callers and incomplete calls do not keep others from an answer") {
     Operated t;
     std::vector<std::unique_ptr<TestConnection>> silent;
     for (int i = 0; i < 100; ++i) {
@@ -63,7 +62,7 @@
     CHECK(t.health() == 200);
 }
 
-TEST_CASE("ops: evacuated, it says no, serves what comes, closes what rests, and comes back") {
+TEST_CASE("ops: an evacuated program is not ready, serves requests, closes idle connections and can rejoin") {
     Operated t;
     TestConnection& idle = t.world.connect();
     idle.send(t.world.makeRequest("0000000000000001"));
@@ -79,8 +78,8 @@
     REQUIRE(t.world.waitUntil([&] { return idle.closedByPeer; }));
     CHECK(!busy.closedByPeer);
     t.answering = true;
-    const ParsedHttpMessage late =
-        t.world.sendRequest(t.world.makeRequest("0000000000000003"));  // a client that had not heard
+    const ParsedHttpMessage late = t.world.sendRequest(
+        t.world.makeRequest("0000000000000003"));  // from a client that does not know of the evacuation
     CHECK(late.statusCode() == 200);
     CHECK(late.header("Connection") == "close");
     t.held->send(makeHttpReply(200, "in its time"));
@@ -99,10 +98,10 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against calls that find no descriptor, as idle clients have them all and come again when they are
-// closed: a new address of discovery, the second address, a node.
+// Guards against connections that fail for lack of descriptors, since idle clients use them all and reconnect
+// when they are closed: to a new discovery address, at the operations endpoint, and to a node.
 TEST_CASE(
-    "ops: idle clients fill the descriptors while discovery is silent: what it then says is in force at "
+    "ops: with all descriptors used by idle clients, a list from a new discovery address takes effect at "
     "once") {
     ProgramHarness world;
     const ReservedAddress ops;
@@ -115,7 +114,7 @@
     world.start();
     world.setDiscoveryAnswers(false);
     std::vector<std::unique_ptr<TestConnection>> idle(150);
-    // The loop runs until it holds, and no place of an idle client stays empty.
+    // Runs the loop until `holds` returns true, and replaces each idle connection that is closed.
     const auto until = [&](const std::function<bool()>& holds) {
         return world.waitUntil([&] {
             for (auto& wire : idle)
@@ -150,7 +149,7 @@
     REQUIRE(until([&] { return world.log.find("leaving: servers leave") != std::string::npos; }));
     CHECK(ask(ops, "GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n").statusCode() == 200);
     CHECK(ask(world.listenAddress, world.makeRequest("0000000000000001", "", 400)).statusCode() ==
-          503);  // its server leaves
+          503);  // its node is draining
     CHECK(node.requests.empty());
     std::string other = world.makeRequest("0000000000000002");
     other.replace(other.find("shard=5"), 7, "shard=6");
--- a/tests/program/ends_test.cpp
+++ b/tests/program/ends_test.cpp
@@ -1,6 +1,6 @@
-// What is owed where something ends: a client that leaves, a time that runs out, the program's own end. The
-// moment in which two things cross is forced, by a process that stands still or a connection that does not
-// come up, and not hoped for.
+// Tests of requests that end early: a client disconnects, a deadline expires, the program exits. Races are
+// forced by a stopped process or a connection that is not established, so that the tests do not depend on
+// timing.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-// Guards against a time that is told as it was when the attempt was decided: the node would work on for a
-// client that has given up.
-TEST_CASE("ends: a node is told what is left of the time once its connection is up") {
+// Guards against sending the remaining time as it was when the attempt was decided: the node would keep
+// working for a client that has given up.
+TEST_CASE("ends: a node is sent the time that is left once its connection is established") {
     ProgramHarness world;
     FullBacklogServer jam;
     world.config["settings"]["Limits"]["DialTimeoutMs"] = 60'000;
@@ -31,7 +31,7 @@
     world.connect().send(world.makeRequest("0000000000000001", "", 5000));
     REQUIRE(world.waitUntil([&] { return world.readCounter("attempt_sent") == 1; }));
     (void)world.waitUntil([] { return false; }, 300);
-    // What waited before the connection could come up is gone from the time, however long that took.
+    // The wait for the connection is subtracted from the remaining time.
     const double goneMs =
         std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - start).count();
     std::optional<ParsedHttpMessage> request;
@@ -39,12 +39,13 @@
         std::string text = jam.acceptAndRead();
         return (request = takeHttpMessage(text)).has_value();
     }));
-    CHECK(std::stod(request->header("Req-Deadline-Ms")) <= 5000 - goneMs + 50);  // the client's way to it
+    CHECK(std::stod(request->header("Req-Deadline-Ms")) <=
+          5000 - goneMs + 50);  // 50 ms for the client's request to arrive
 }
 
-// Guards against a copy that reaches its node when that has forgotten the first one: it was decided in time,
-// but its connection came up late.
-TEST_CASE("ends: a keyed repeat whose connection comes up after its window does not go out") {
+// Guards against a repeat that reaches the node after its deduplication window: the repeat was decided in
+// time, but its connection was established late.
+TEST_CASE("ends: a keyed repeat whose connection is established after its window is not sent") {
     ProgramHarness world;
     FullBacklogServer jam(false);
     world.config["settings"]["Limits"]["DialTimeoutMs"] = 60'000;
@@ -55,22 +56,22 @@
     REQUIRE(world.waitUntil([&] { return jam.acceptAndRead().ends_with("text"); }));
     const std::string first = jam.acceptAndRead();
     jam.fillBacklog();
-    jam.resetAccepted();  // it may have run
+    jam.resetAccepted();  // the request may have run
     std::optional<ParsedHttpMessage> answer;
     REQUIRE(world.waitUntil([&] {
         return (answer = takeHttpMessage(client.received)) || world.readCounter("attempt_sent") == 2;
     }));
     (void)world.waitUntil([&] { return (answer = takeHttpMessage(client.received)).has_value(); }, 900);
-    (void)
-        jam.acceptAndRead();  // the connection comes up with the system's next try, a second after its first
+    (void)jam.acceptAndRead();  // the connection is established by the kernel's next SYN, 1 s after the first
     (void)world.waitUntil([&] { return jam.acceptAndRead() != first; }, 1500);
     CHECK(jam.acceptAndRead() == first);
     REQUIRE(answer);
-    CHECK(answer->statusCode() == 502);  // not harmless to repeat
+    CHECK(answer->statusCode() == 502);  // a repeat is not harmless
 }
 
-// Guards against work that waits for its own connection alone, which comes up late, or never.
-TEST_CASE("ends: work whose connection does not come up goes on one that another has done with") {
+// Guards against a request that waits only for its own connection, which may be established late or never.
+TEST_CASE(
+    "ends: a request whose connection is not established uses one that another request has finished with") {
     ProgramHarness world;
     FullBacklogServer jam(false);
     world.config["settings"]["Limits"]["DialTimeoutMs"] = 60'000;
@@ -93,7 +94,7 @@
     CHECK(world.readCounter("attempt_sent") == 2);
 }
 
-TEST_CASE("ends: beside a connection that is late a second one is dialled, and the request goes out once") {
+TEST_CASE("ends: while a connection is late a second one is dialled, and the request is sent once") {
     ProgramHarness world;
     FullBacklogServer jam;
     world.config["settings"]["Limits"]["DialTimeoutMs"] = 10'000;  // a quarter: 2.5 s
@@ -113,20 +114,20 @@
     CHECK(world.readCounter("attempt_sent") == 1);
 }
 
-// Guards against a client whose leaving is not seen behind what else it has sent.
-TEST_CASE("ends: a client that leaves is seen behind the requests that it has sent before their turn") {
+// Guards against a client's disconnect that goes unnoticed behind pipelined bytes.
+TEST_CASE("ends: a client's disconnect is detected behind the requests that it has pipelined") {
     ProgramHarness world;
     StubHttpNode node(world.base.get(), silent);
     startWith(world, node.listener.address);
     std::string early = world.makeRequest("0000000000000002");
     bool reset = false;
-    SUBCASE("a whole one") {}
-    SUBCASE("a half one") { early.resize(early.size() / 2); }
-    SUBCASE("a whole one, and it breaks off") { reset = true; }
-    SUBCASE("more than is read before its turn") {
+    SUBCASE("a whole request") {}
+    SUBCASE("half a request") { early.resize(early.size() / 2); }
+    SUBCASE("a whole request, and a reset") { reset = true; }
+    SUBCASE("more than is read ahead") {
         while (early.size() < 80'000) early += early;
     }
-    SUBCASE("more than the sockets take, and it breaks off") {
+    SUBCASE("more than the socket buffers hold, and a reset") {
         while (early.size() < 2'000'000) early += early;
         reset = true;
     }
@@ -142,19 +143,19 @@
     CHECK(node.requests.size() == 1);
 }
 
-// Guards against an attempt for a client that has left before its request was read: the program stands still
-// while both come.
-TEST_CASE("ends: a request whose client has left before it is read is not sent on") {
+// Guards against an attempt for a client that disconnected before its request was read: the program is
+// stopped while both arrive.
+TEST_CASE("ends: a request whose client has disconnected before it is read is not forwarded") {
     ProgramHarness world;
     StubHttpNode node(world.base.get(), replyWithRequestId);
     startWith(world, node.listener.address);
     TestConnection& client = world.connect();
     REQUIRE(world.waitUntil([&] { return client.connected; }));
     const int connections = static_cast<int>(world.readCounter("client_connection"));
-    CHECK(connections > 0);  // and this one is taken
+    CHECK(connections > 0);  // this client's connection is accepted
     world.sendSignal(SIGSTOP);
     SUBCASE("one") { client.sendAndShutdown(world.makeRequest("0000000000000001")); }
-    SUBCASE("several at once") {
+    SUBCASE("several pipelined") {
         client.sendAndShutdown(world.makeRequest("0000000000000001") + world.makeRequest("0000000000000002"));
     }
     world.sendSignal(SIGCONT);
@@ -164,9 +165,9 @@
     REQUIRE(world.waitUntil([&] { return client.closedByPeer; }));
 }
 
-// Guards against a request that the program's end drops: it came late, on a connection that was kept for its
-// first half, and its client would wait for longer than the program may stay.
-TEST_CASE("ends: SIGTERM: what comes late has its answer before the last moment") {
+// Guards against a request that is dropped at the exit: it is completed late, on a connection that was kept
+// for its first half, and its deadline is later than the program may run.
+TEST_CASE("ends: SIGTERM: a request that is completed late is answered before the exit") {
     ProgramHarness world;
     StubHttpNode node(world.base.get(), silent);
     startWith(world, node.listener.address);
@@ -176,8 +177,9 @@
     world.waitForNodeReuse();
     world.sendSignal(SIGTERM);
     REQUIRE(world.waitUntil([&] { return world.log.find("end: finishing") != std::string::npos; }));
-    (void)world.waitUntil([] { return false; },
-                          1000);  // its time ends after the program's 5.55 s, if not cut
+    (void)world.waitUntil(
+        [] { return false; },
+        1000);  // its deadline, unless shortened, is later than the program's exit after 5.55 s
     client.send(text.substr(20));
     std::optional<ParsedHttpMessage> answer;
     REQUIRE(world.waitUntil(
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -1,4 +1,4 @@
-// The platform's front: the program between HTTP clients, nodes and discovery.
+// Tests of the HTTP front: the program between HTTP clients, storage nodes and discovery.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -30,7 +30,7 @@
 
 const auto silent = [](TestConnection&, const ParsedHttpMessage&) {};
 
-/// Returns once SIGTERM has led the program to close its listener.
+/// Waits until the program has closed its listener; returns whether it has.
 bool listenerCloses(ProgramHarness& world) {
     return world.waitUntil([&] {
         TestConnection probe(world.base.get(), world.listenAddress);
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("a read and a write pass on unchanged, and the node's answer comes back") {
+TEST_CASE("reads and writes are forwarded unchanged, and the node's answer is returned") {
     OneNode t;
     const ParsedHttpMessage read = t.world.sendRequest(t.world.makeRequest("0000000000000001"));
     CHECK(read.statusCode() == 200);
@@ -51,12 +51,12 @@
     REQUIRE(t.node.requests.size() == 2);
     CHECK(t.node.requests[0].startLine() == "GET /read/00000003b4d60021/7f3a9c21e0b4d655?x=1 HTTP/1.1");
     CHECK(t.node.requests[1].header("Idempotency-Key") == "k");
-    CHECK(t.node.listener.connections.size() == 1);  // the connection is used again
+    CHECK(t.node.listener.connections.size() == 1);  // the connection is reused
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against a request that is answered twice or not at all where the node says nothing: the deadline's
-// answer is the only one, and the attempt is called off by closing its connection.
+// Guards against a request to a silent node that is answered twice or not at all: the deadline triggers the
+// only answer, and the attempt is cancelled by closing its connection.
 TEST_CASE("a silent node: one final answer by the deadline, and the attempt is cancelled") {
     OneNode t(silent);
     TestConnection& client = t.world.connect();
@@ -69,8 +69,9 @@
     CHECK(client.received.empty());
 }
 
-// Guards against working on for a client that has gone: evhttp itself does not look while a request is open.
-TEST_CASE("a client that goes away takes its attempt with it") {
+// Guards against continued work for a client that has disconnected: evhttp does not detect that while a
+// request is open.
+TEST_CASE("a client that disconnects cancels its attempt") {
     OneNode t(silent);
     TestConnection& client = t.world.connect();
     client.send(t.world.makeRequest("0000000000000001"));
@@ -81,7 +82,7 @@
     CHECK(t.world.readCounter("answer_failed") + t.world.readCounter("answer_refused") == 0);
 }
 
-TEST_CASE("a connection that breaks after the request: a read is tried again, once served") {
+TEST_CASE("a read whose node connection breaks after the request is retried") {
     int broken = 0;
     OneNode t([&](TestConnection& wire, const ParsedHttpMessage& request) {
         if (broken++ == 0) return wire.close();
@@ -92,7 +93,7 @@
     CHECK(t.world.readCounter("attempt_broken") == 1);
 }
 
-TEST_CASE("a node that turns away, errs or is not there") {
+TEST_CASE("a node that declines, fails or is unreachable") {
     int turn = 0;
     OneNode t([&](TestConnection& wire, const ParsedHttpMessage& request) {
         if (++turn == 1) return wire.send(makeHttpReply(503, "", "Srv-Declined: 1\r\n"));
@@ -106,13 +107,13 @@
     const ReservedAddress nobody;
     t.world.announceNode("s-1", nobody, 5);
     REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount > watches; }));
-    // A node to which no connection comes up has run nothing: the answer says that a repeat is harmless.
+    // A node that cannot be connected to has run nothing, so the answer says that a repeat is harmless.
     const ParsedHttpMessage answer = t.world.sendRequest(t.world.makeRequest("0000000000000002", "", 300));
     CHECK(answer.statusCode() == 503);
     CHECK(t.world.readCounter("attempt_not_connected") > 0);
 }
 
-TEST_CASE("a draining node gets nothing new; the watch goes on") {
+TEST_CASE("a draining node gets no new requests; the discovery watch continues") {
     OneNode t;
     const int watches = t.world.discoveryCallCount;
     t.world.announceNode("s-1", t.node.listener.address, 5, "draining");
@@ -121,7 +122,7 @@
     CHECK(t.node.requests.empty());
 }
 
-TEST_CASE("hostile clients get a defined answer and leave the program standing") {
+TEST_CASE("malformed requests get a defined answer, and the program keeps running") {
     OneNode t;
     const std::string good = t.world.makeRequest("0000000000000001");
     const auto with = [&](const std::string& from, const std::string& to) {
@@ -135,7 +136,7 @@
           with("Tier: basic", "Tier: basic\r\nTier: basic"), with("Tier: basic", "Tier : basic")})
         CHECK(t.world.sendRequest(bad).statusCode() == 400);
     CHECK(t.world.sendRequest(with("shard=5", "shard=100")).statusCode() ==
-          400);  // there are 100, counted from 0
+          400);  // there are 100 shards, numbered from 0
     CHECK(t.world.sendRequest("PUT /write/1/2 HTTP/1.1\r\nHost: b\r\nContent-Length: 70000\r\n\r\n")
                   .statusCode() /
               100 ==
@@ -150,9 +151,9 @@
     CHECK(t.world.readCounter("request_malformed") >= 9);
 }
 
-// Guards against a request hidden in what another takes for a body: nothing of it reaches a node, and what
-// comes behind it on the connection is not taken for a request either.
-TEST_CASE("a request whose end is ambiguous is refused and ends its connection") {
+// Guards against request smuggling: no request hidden in an ambiguous body reaches a node, and what follows
+// on the connection is not read as a request either.
+TEST_CASE("a request whose end is ambiguous is rejected and its connection closed") {
     OneNode t;
     const std::string hidden = t.world.makeRequest("0000000000000009");
     const std::string size = std::to_string(hidden.size());
@@ -173,15 +174,15 @@
         CHECK(client.received.find("HTTP/1.1", 8) == std::string::npos);
     }
     CHECK(t.node.requests.empty());
-    // Chunks alone are no riddle: the body passes on with its length.
+    // Chunks alone are unambiguous: the body is forwarded with its length.
     CHECK(
         t.world.sendRequest(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n").body ==
         "made for 0000000000000001:abc");
 }
 
-// Guards against clients that connect and say nothing whole, which evhttp does not show: they were never
-// closed.
-TEST_CASE("silent clients are closed, and at the bound they make room at once") {
+// Guards against clients that connect and never send a complete request: evhttp does not report them, so they
+// were never closed.
+TEST_CASE("silent clients are closed, at the connection limit sooner") {
     ProgramHarness world;
     world.config["limits"]["sockets"] = 80;
     world.start();
@@ -196,8 +197,8 @@
     CHECK(world.readCounter("client_crowd") > 0);
 }
 
-// Guards against evhttp's reading on while a request is in work: the second one must wait for its turn.
-TEST_CASE("two requests sent at once on one connection are answered in turn") {
+// Guards against evhttp reading on while a request is in work: the second request has to wait for its turn.
+TEST_CASE("two pipelined requests are answered in order") {
     OneNode t;
     TestConnection& client = t.world.connect();
     client.send(t.world.makeRequest("0000000000000001") + t.world.makeRequest("0000000000000002"));
@@ -209,7 +210,7 @@
     CHECK(bodies == std::vector<std::string>{"made for 0000000000000001:", "made for 0000000000000002:"});
 }
 
-TEST_CASE("an id that is open already is not taken twice") {
+TEST_CASE("a request with the id of an open request is refused") {
     OneNode t(silent);
     t.world.connect().send(t.world.makeRequest("0000000000000001"));
     REQUIRE(t.world.waitUntil([&] { return t.node.requests.size() == 1; }));
@@ -217,7 +218,7 @@
     CHECK(t.node.requests.size() == 1);
 }
 
-TEST_CASE("SIGTERM: new connections are still served, what was taken is finished, then it ends with 0") {
+TEST_CASE("SIGTERM: new connections are still served, open requests are finished, and the exit code is 0") {
     TestConnection* held = nullptr;
     OneNode t([&](TestConnection& wire, const ParsedHttpMessage& request) {
         if (held == nullptr) {
@@ -235,7 +236,7 @@
     const ParsedHttpMessage during = t.world.sendRequest(t.world.makeRequest("0000000000000002"));
     CHECK(during.statusCode() == 200);
     CHECK(during.header("Connection") == "close");
-    REQUIRE(listenerCloses(t.world));  // only then is the first one answered
+    REQUIRE(listenerCloses(t.world));  // the first request is answered only after that
     held->send(makeHttpReply(200, "late"));
     std::optional<ParsedHttpMessage> answer;
     REQUIRE(t.world.waitUntil([&] { return (answer = takeHttpMessage(before.received)).has_value(); }));
@@ -244,9 +245,9 @@
     CHECK(t.world.log.find("end: exits open=0") != std::string::npos);
 }
 
-// Guards against the signal's default action, which a program that takes itself down would meet: the exit
-// code of one that is told twice would be 143.
-TEST_CASE("SIGTERM: a signal that comes after its watch is gone ends nothing") {
+// Guards against the signal's default action after the handler is removed at shutdown: a second SIGTERM would
+// end the program with exit code 143.
+TEST_CASE("SIGTERM: a signal that arrives after its handler is destroyed does not end the process") {
     const pid_t child = fork();
     REQUIRE(child >= 0);
     if (child == 0) {
@@ -262,15 +263,17 @@
     CHECK(WIFEXITED(status));
 }
 
-// Guards against a request lost whose headers had been read: evhttp has them, and the connection looks idle.
-TEST_CASE("SIGTERM: a request whose headers have come on a kept connection is still taken and answered") {
+// Guards against the loss of a request whose headers have been read: evhttp has removed them from the buffer,
+// so the connection looks idle.
+TEST_CASE(
+    "SIGTERM: a request whose headers have arrived on a kept connection is still accepted and answered") {
     OneNode t;
     TestConnection& client = t.world.connect();
     std::optional<ParsedHttpMessage> answer;
     client.send(t.world.makeRequest("0000000000000001"));
     REQUIRE(t.world.waitUntil([&] { return (answer = takeHttpMessage(client.received)).has_value(); }));
     const std::string text = t.world.makeRequest("0000000000000002", "", 3000, "the body");
-    const std::size_t half = text.find("the body");  // the headers, which evhttp takes out of the buffers
+    const std::size_t half = text.find("the body");  // the headers, which evhttp removes from the buffer
     client.send(text.substr(0, half));
     t.world.waitForNodeReuse();
     t.world.sendSignal(SIGTERM);
@@ -285,10 +288,10 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against an end between an answer and its last byte: to the dispatcher it is over once it is handed
-// on.
-TEST_CASE("SIGTERM: the program ends only once its answers are written whole") {
-    const std::string longest(5'900'000, 'y');  // more than the sockets between take
+// Guards against an exit before the last byte of an answer is written: for the dispatcher the request has
+// ended earlier.
+TEST_CASE("SIGTERM: the program exits only after its answers are written completely") {
+    const std::string longest(5'900'000, 'y');  // more than the socket buffers hold
     OneNode t([&](TestConnection& wire, const ParsedHttpMessage&) { wire.send(makeHttpReply(200, longest)); },
               [](ProgramHarness& world) {
                   for (auto& one : world.config["settings"]["Classes"]) one["DeadlineMs"] = 20000;
@@ -309,9 +312,9 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against a fleet whose failed calls come back in step: the rest counts all schedulers, and it grows.
-TEST_CASE(
-    "a discovery that has no room is asked again after rests that grow with the fleet and with failures") {
+// Guards against schedulers that repeat failed calls in step: the pause grows with their number and with
+// failures.
+TEST_CASE("an overloaded discovery is called again after pauses that grow with the fleet and with failures") {
     ProgramHarness world;
     std::vector<double> callsMs;
     const martencove::Clock clock;
@@ -323,7 +326,7 @@
     world.config["discovery"] = full.address.toString();
     world.config["settings"]["Discovery"] = "on_request";
     world.config["settings"]["Siblings"] =
-        10;  // 50 ms for each: 500 ms in the mean, then 1000, at least half
+        10;  // 50 ms for each: on average 500 ms, then 1000 ms; at least half of that
     world.start();
     REQUIRE(world.waitUntil([&] { return callsMs.size() == 3; }));
     CHECK(callsMs[1] - callsMs[0] >= 249);
@@ -331,8 +334,9 @@
     CHECK(world.stopAndWait() == 0);
 }
 
-// Guards against an end by SIGHUP, a watch that stays at the old address, and requests lost on the way.
-TEST_CASE("SIGHUP: discovery moves, an unreadable file leaves all as it was, what was taken is served") {
+// Guards against SIGHUP ending the program, a discovery watch that stays at the old address, and lost
+// requests.
+TEST_CASE("SIGHUP: discovery moves, an invalid file changes nothing, and open requests are served") {
     TestConnection* held = nullptr;
     OneNode t([&](TestConnection& wire, const ParsedHttpMessage&) { held = &wire; });
     TestConnection& before = t.world.connect();
@@ -351,7 +355,7 @@
         if (!call || !asked.empty()) return;
         asked = call->startLine();
         const Json hosts = {t.world.makeNodeEntry("s-2", second.listener.address, 5, "ready")};
-        // Its versions are its own: lower ones than the old address told.
+        // The new address numbers its versions itself; they may be lower than those of the old address.
         wire.send(makeHttpReply(200, Json{{"seq", 0}, {"whole", true}, {"hosts", hosts}}.dump()));
     });
     t.world.config["discovery"] = moved.address.toString();
@@ -363,7 +367,7 @@
         t.world.waitUntil([&] { return t.world.log.find("next start field=limits") != std::string::npos; }));
     CHECK(asked == "GET /v1/servers HTTP/1.1");
     CHECK(t.world.log.find("next start field=limits") != std::string::npos);
-    // The new address leaves the first node out, so that the second alone holds the shard.
+    // The list of the new address omits the first node, so that only the second holds the shard.
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("discovery_moved") == 1; }));
     CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000002")).body == "made for 0000000000000002:");
 
@@ -374,8 +378,8 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against connections that rest while other clients find none left.
-TEST_CASE("near the bound an answer ends its connection; below it the connection stays") {
+// Guards against idle connections that keep other clients from connecting.
+TEST_CASE("near the connection limit an answer closes its connection; otherwise the connection is kept") {
     ProgramHarness world;
     world.config["limits"]["sockets"] = 80;  // 36 for clients
     world.start();
@@ -396,8 +400,8 @@
     CHECK(ended() < 25);
 }
 
-// Guards against idle clients that lock others out at the bound on descriptors.
-TEST_CASE("at the bound idle connections make room for new ones") {
+// Guards against idle clients that lock others out at the limit on descriptors.
+TEST_CASE("at the connection limit idle connections are closed for new ones") {
     ProgramHarness world;
     world.config["limits"]["sockets"] = 80;
     world.start();
@@ -406,7 +410,7 @@
     CHECK(world.running());
 }
 
-TEST_CASE("datagrams from strangers or too long are counted and passed over") {
+TEST_CASE("invalid and overlong peer datagrams are counted and ignored") {
     OneNode t;
     const int fd = socket(AF_INET, SOCK_DGRAM, 0);
     const sockaddr_in to = t.world.peerListenAddress.socketAddress();
@@ -419,22 +423,24 @@
     CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).statusCode() == 200);
 }
 
-// Guards against bytes that go to a connection which evhttp has closed: its buffers are held for a while, and
-// the next connection may have its descriptor. A request that takes more than one read shows it.
-TEST_CASE("http: what comes on a connection right after another was closed is read whole") {
+// Guards against bytes that go to a connection which evhttp has closed: its bufferevent is kept for a while,
+// and the next connection may reuse its descriptor. A request that needs more than one read would lose bytes.
+TEST_CASE("http: a request on a connection opened right after another was closed is read completely") {
     ProgramHarness world;
     StubHttpNode node(world.base.get(), replyWithRequestId);
     world.config["known"]["hosts"].push_back(world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
     world.start();
     std::string bad;
-    SUBCASE("for a line that is no request") { bad = "NONSENSE\r\n\r\n"; }
-    SUBCASE("for a body that is too long") {
+    SUBCASE("closed for an invalid request line") { bad = "NONSENSE\r\n\r\n"; }
+    SUBCASE("closed for a body that is too long") {
         bad =
             "PUT /write/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nContent-Length: "
             "99999999\r\n\r\nabc";
     }
-    SUBCASE("for a head that is too long") { bad = "GET / HTTP/1.1\r\nA: " + std::string(80'000, 'a'); }
-    SUBCASE("by its client, half a request said") { bad = ""; }
+    SUBCASE("closed for headers that are too long") {
+        bad = "GET / HTTP/1.1\r\nA: " + std::string(80'000, 'a');
+    }
+    SUBCASE("closed by its client after half a request") { bad = ""; }
     for (int i = 0; i < 3; ++i) {
         std::list<TestConnection> others;
         for (int k = 0; k < 4; ++k) {
@@ -468,7 +474,7 @@
     }
 }
 
-TEST_CASE("a bad value in the configuration: one line that names the field, and no start") {
+TEST_CASE("an invalid configuration value stops the start with one line that names the field") {
     const ProgramHarness world;
     const auto refused = [&](const std::string& field, const std::function<void(Json&)>& spoil) {
         Json config = world.config;
--- a/tests/program/long_test.cpp
+++ b/tests/program/long_test.cpp
@@ -1,4 +1,4 @@
-// Answers that are too long to be held: they go on to the client as they come.
+// Tests of answers that are too long to be buffered and are streamed to the client.
 #include <doctest/doctest.h>
 
 #include "program_harness.h"
@@ -32,8 +32,10 @@
 
 }  // namespace
 
-// Guards against answers refused, or held, that are longer than what memory there is for them.
-TEST_CASE("long answer: 32 MB come whole with 16 MB of memory, and no more is read than the client takes") {
+// Guards against answers larger than the memory for them being refused or buffered.
+TEST_CASE(
+    "long answer: 32 MB arrive complete with 16 MB of memory, and are read only as fast as the client "
+    "reads") {
     const std::string body = longBody(kLong);
     LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) { wire.send(head(kLong) + body); });
     TestConnection& client = t.world.connect();
@@ -41,7 +43,7 @@
     client.send(t.world.makeRequest("0000000000000001"));
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_passed_on") == 1; }));
     (void)t.world.waitUntil([] { return false; }, 200);
-    CHECK(t.world.readCounter("answer_bytes") < 512 * 1024);  // and what the sockets take
+    CHECK(t.world.readCounter("answer_bytes") < 512 * 1024);  // besides what the socket buffers hold
     CHECK(t.world.readCounter("attempt_served") == 1);
     client.setReading(true);
     std::optional<ParsedHttpMessage> answer;
@@ -52,7 +54,7 @@
     CHECK(answer->header("Content-Type") == "x/y");
     CHECK(answer->body == body);
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_bytes") == 0; }));
-    // Both connections go on.
+    // Both connections are kept.
     t.world.waitForNodeReuse();
     t.node.handler = replyWithRequestId;
     client.send(t.world.makeRequest("0000000000000002"));
@@ -64,7 +66,7 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("long answer: in chunks it goes on in chunks") {
+TEST_CASE("long answer: a chunked answer is streamed in chunks") {
     const std::string piece = longBody(40'000);
     LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) {
         wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -78,8 +80,8 @@
     CHECK(t.world.readCounter("attempt_served") == 1);
 }
 
-// Guards against a break that looks like an end, and against a second attempt behind half an answer.
-TEST_CASE("long answer: a break in the middle is one that the client can tell") {
+// Guards against a truncated answer that looks complete, and against a second attempt after half an answer.
+TEST_CASE("long answer: the client can detect that an answer is truncated") {
     TestConnection* held = nullptr;
     LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) { held = &wire; });
     TestConnection& client = t.world.connect();
@@ -101,7 +103,7 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("long answer: what breaks before its first bytes is tried again") {
+TEST_CASE("long answer: an attempt that breaks before the first bytes is retried") {
     bool first = true;
     LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) {
         std::exchange(first, false) ? wire.close() : wire.send(head(300'000) + longBody(300'000));
@@ -110,7 +112,7 @@
     CHECK(t.node.requests.size() == 2);
 }
 
-TEST_CASE("long answer: a client that leaves ends it, and SIGTERM waits for its last byte") {
+TEST_CASE("long answer: a client's disconnect ends it, and SIGTERM waits for its last byte") {
     TestConnection* held = nullptr;
     LongNode t([&](TestConnection& wire, const ParsedHttpMessage&) { held = &wire; });
     TestConnection& client = t.world.connect();
@@ -118,13 +120,13 @@
     REQUIRE(t.world.waitUntil([&] { return held != nullptr; }));
     held->send(head(200'000) + longBody(100'000));
     REQUIRE(t.world.waitUntil([&] { return client.received.size() > 100'000; }));
-    SUBCASE("leaves") {
+    SUBCASE("client disconnects") {
         client.close();
         REQUIRE(t.world.waitUntil([&] { return held->closedByPeer; }));
     }
     SUBCASE("SIGTERM") {
         t.world.sendSignal(SIGTERM);
-        (void)t.world.waitUntil([] { return false; }, 1200);  // past the listener's end
+        (void)t.world.waitUntil([] { return false; }, 1200);  // until after the listener is closed
         CHECK(t.world.running());
         held->send(longBody(100'000));
         std::optional<ParsedHttpMessage> answer;
@@ -136,7 +138,8 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("an answer without a length is whole once its node ends the connection; a reset is no end") {
+TEST_CASE(
+    "an answer without a length is complete when its node closes the connection, but not after a reset") {
     bool first = true, cut = false;
     std::size_t bytes = 0;
     LongNode t([&](TestConnection& wire, const ParsedHttpMessage& request) {
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -1,7 +1,6 @@
-// What is owed between SIGTERM and the exit. Each crossing is forced: by a server that holds its answer, a
-// client that holds a byte, a process that stands still, a connection that waits to be accepted. Where a test
-// asks that something comes soon, the deadlines of its settings are so long that a wrong schedule is seconds
-// away.
+// Tests of the time between SIGTERM and the exit. Races are forced: by a node that holds back its answer, a
+// client that holds back a byte, a stopped process, or a connection that waits to be accepted. Where a test
+// requires that something happens soon, its deadlines are so long that a wrong schedule is off by seconds.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -15,12 +14,13 @@
 namespace {
 
 constexpr int kLongDeadlineMs = 20'000;
-// Far beyond any moment of a schedule that counts 3 s of a deadline at most, far before a deadline's own end.
+// Much later than any event of a shutdown schedule, which counts at most 3 s of a deadline, and much earlier
+// than the deadline itself.
 constexpr double kLongBeforeDeadlineMs = 10'000;
 
 const auto silent = [](TestConnection&, const ParsedHttpMessage&) {};
 
-/// A program whose shard 5 is held by one server, which says nothing unless told otherwise.
+/// A program with one node that holds shard 5. Unless a handler is given, the node never answers.
 struct Site {
     explicit Site(
         StubHttpNode::Handler answer = silent,
@@ -31,7 +31,7 @@
             Json::array({world.makeNodeEntry("s-1", node.listener.address, 5, "ready")});
         world.start();
     }
-    /// A client that has sent a request, which the server holds.
+    /// Returns a client that has sent a request, which the node has received.
     TestConnection& heldClient(const std::string& id, int deadlineMs = 5000) {
         TestConnection& client = world.connect();
         const std::size_t before = node.requests.size();
@@ -39,7 +39,7 @@
         REQUIRE(world.waitUntil([&] { return node.requests.size() == before + 1; }));
         return client;
     }
-    /// A client of whose request the last `rest` has not been sent.
+    /// Returns a client that has sent only the first `sent` bytes of `text`.
     TestConnection& halfClient(const std::string& text, std::size_t sent) {
         TestConnection& client = world.connect();
         client.send(text.substr(0, sent));
@@ -54,7 +54,7 @@
     bool logged(const std::string& text, double mostMs = 20'000) {
         return world.waitUntil([&] { return world.log.find(text) != std::string::npos; }, mostMs);
     }
-    /// The next answer on a connection; nothing where that ends without one.
+    /// Returns the next answer on a connection, or nothing if the connection is closed without one.
     std::optional<ParsedHttpMessage> answer(TestConnection& client, double mostMs = 20'000) {
         std::optional<ParsedHttpMessage> out;
         (void)world.waitUntil(
@@ -76,20 +76,21 @@
 
 }  // namespace
 
-// Guards against a schedule that counts the whole of a long deadline: SIGKILL counts 3 s of it.
+// Guards against a schedule that waits for a long deadline in full: the time until SIGKILL counts only 3 s of
+// it.
 TEST_CASE(
-    "shutdown: a request whose server hangs has its answer long before its deadline, and 0 is returned") {
+    "shutdown: a request at a hanging node is answered long before its deadline, and the exit code is 0") {
     Site t(silent, longDeadlines);
     TestConnection* client = nullptr;
-    SUBCASE("taken before SIGTERM") {
+    SUBCASE("accepted before SIGTERM") {
         client = &t.heldClient("0000000000000001", kLongDeadlineMs);
         t.terminate();
     }
-    SUBCASE("taken after it") {
+    SUBCASE("accepted after SIGTERM") {
         t.terminate();
         client = &t.heldClient("0000000000000001", kLongDeadlineMs);
     }
-    SUBCASE("taken before it, and discovery is silent") {
+    SUBCASE("accepted before SIGTERM, and discovery is silent") {
         t.world.setDiscoveryAnswers(false);
         t.world.dropPendingDiscoveryCalls();
         client = &t.heldClient("0000000000000001", kLongDeadlineMs);
@@ -97,14 +98,13 @@
     }
     const auto answer = t.answer(*client, kLongBeforeDeadlineMs);
     REQUIRE(answer);
-    CHECK(answer->statusCode() == 503);  // a read, harmless to repeat
+    CHECK(answer->statusCode() == 503);  // a repeat of a read is harmless
     CHECK(t.world.stopAndWait() == 0);
     CHECK(t.world.log.find("end: exits open=0") != std::string::npos);
 }
 
-// Guards against a connection that comes up late and takes a request along when its answer is due.
-TEST_CASE(
-    "shutdown: a request whose connection never comes up has its answer, and nothing is sent after it") {
+// Guards against a connection that is established late and then sends a request that has been answered.
+TEST_CASE("shutdown: a request whose connection is never established is answered, and not sent afterwards") {
     ProgramHarness world;
     FullBacklogServer jam;
     longDeadlines(world);
@@ -125,9 +125,9 @@
     CHECK(world.stopAndWait() == 0);
 }
 
-// Guards against a request that is read so late that its server cannot answer any more: the process stands
-// still while the last byte and the last moment for a first attempt pass.
-TEST_CASE("shutdown: a request that is read too late is refused and not sent on") {
+// Guards against forwarding a request that is read too late for its node to answer: the process is stopped
+// while the last byte arrives and the time for first attempts ends.
+TEST_CASE("shutdown: a request that is read too late is refused and not forwarded") {
     Site t(silent, [](ProgramHarness& world) { deadlinesOf(world, 1000); });
     TestConnection& held = t.heldClient("0000000000000001", 1000);
     const std::string text = t.world.makeRequest("0000000000000002", "", 1000);
@@ -135,7 +135,7 @@
     t.terminate();
     t.world.sendSignal(SIGSTOP);
     late.send(text.substr(20));
-    (void)t.world.waitUntil([] { return false; }, 1200);  // first attempts may begin for 0.97 s
+    (void)t.world.waitUntil([] { return false; }, 1200);  // first attempts may start during 0.97 s
     t.world.sendSignal(SIGCONT);
     const auto answer = t.answer(late);
     REQUIRE(answer);
@@ -146,10 +146,9 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against an exit over what came while the process stood still for longer than the schedule allows
-// for.
-TEST_CASE(
-    "shutdown: a process that stands still beyond its last moment answers what has come before it exits") {
+// Guards against an exit that ignores what arrived while the process was stopped for longer than the schedule
+// allows.
+TEST_CASE("shutdown: a process stopped beyond its time to exit answers what has arrived before it exits") {
     Site t(silent, [](ProgramHarness& world) { deadlinesOf(world, 1000); });
     TestConnection& held = t.heldClient("0000000000000001", 1000);
     const std::string text = t.world.makeRequest("0000000000000002", "", 1000);
@@ -167,8 +166,9 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against an end of the connection behind an answer, while what its client sent next has been read.
-TEST_CASE("shutdown: requests that were sent behind one another are all answered") {
+// Guards against closing the connection after an answer while the client's next requests have been read
+// already.
+TEST_CASE("shutdown: pipelined requests are all answered") {
     Site t(silent, longDeadlines);
     TestConnection& client = t.heldClient("0000000000000001", kLongDeadlineMs);
     client.send(t.world.makeRequest("0000000000000002", "", kLongDeadlineMs) +
@@ -184,23 +184,23 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("shutdown: half a request is refused, and does not hold the exit up") {
+TEST_CASE("shutdown: half a request is refused, and does not delay the exit") {
     Site t(silent, longDeadlines);
     const std::string text = t.world.makeRequest("0000000000000001", "", kLongDeadlineMs, "the body");
     TestConnection* client = nullptr;
     bool trickles = false;
-    SUBCASE("half of its head, on a new connection") { client = &t.halfClient(text, 20); }
-    SUBCASE("its head, on a new connection") { client = &t.halfClient(text, text.find("the body")); }
-    SUBCASE("half of its head, on a connection that has been used") {
+    SUBCASE("half of its headers, on a new connection") { client = &t.halfClient(text, 20); }
+    SUBCASE("its headers, on a new connection") { client = &t.halfClient(text, text.find("the body")); }
+    SUBCASE("half of its headers, on a used connection") {
         client = &t.halfClient("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n" + text, 60);
         REQUIRE(t.answer(*client));
     }
-    SUBCASE("its head, behind another one in the same bytes") {
+    SUBCASE("its headers, pipelined behind another request") {
         const std::string both = "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n" + text;
         client = &t.halfClient(both, both.find("the body"));
         REQUIRE(t.answer(*client));
     }
-    SUBCASE("a client that goes on byte by byte") {
+    SUBCASE("a client that continues byte by byte") {
         client = &t.halfClient(text, 20);
         trickles = true;
     }
@@ -221,14 +221,14 @@
     CHECK(t.node.requests.empty());
 }
 
-// Guards against a close over bytes that nobody has read: it resets the connection, and the end of the answer
-// that is on its way goes with it.
-TEST_CASE("shutdown: an answer arrives whole, though its client sends more behind its request") {
+// Guards against closing a connection with unread bytes: that resets the connection, and the end of the
+// answer in transit is lost.
+TEST_CASE("shutdown: an answer arrives completely though its client sends more after its request") {
     const std::string body(48'000, 'y');
     TestConnection* held = nullptr;
     Site t([&](TestConnection& wire, const ParsedHttpMessage&) { held = &wire; });
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
-    const int small = 4096;  // most of the answer has to wait at the program's side
+    const int small = 4096;  // so that most of the answer waits in the program
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
     const sockaddr_in to = t.world.listenAddress.socketAddress();
     REQUIRE(connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0);
@@ -239,7 +239,7 @@
     held->send(makeHttpReply(200, body));
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_served") == 1; }));
     t.world.waitForNodeReuse();
-    // Pieces, so that some come before the close and some behind it.
+    // Sent in pieces, so that some arrive before the close and some after it.
     for (int i = 0; i < 10; ++i) {
         (void)!::send(fd, text.data(), 20, MSG_NOSIGNAL);
         t.world.waitForNodeReuse();
@@ -255,9 +255,9 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against a listener that is closed over connections that nobody has accepted, as none may come while
-// requests in work hold all descriptors.
-TEST_CASE("shutdown: connections that wait to be accepted are taken and answered once there is room") {
+// Guards against closing the listener while connections wait to be accepted: none can be accepted while open
+// requests use all descriptors.
+TEST_CASE("shutdown: connections in the listen queue are accepted and answered once descriptors are free") {
     constexpr int kClients = 40;  // more than the program has descriptors for
     std::vector<TestConnection*> held;
     bool holds = true;
@@ -283,7 +283,7 @@
     t.world.sendSignal(SIGTERM);
     t.world.sendSignal(SIGCONT);
     REQUIRE(t.world.waitUntil([&] { return !held.empty(); }));
-    (void)t.world.waitUntil([] { return false; }, 600);  // the listener's time is over
+    (void)t.world.waitUntil([] { return false; }, 600);  // the listener's closing time has passed
     holds = false;
     for (TestConnection* wire : held) wire->send(makeHttpReply(200, "late"));
     for (TestConnection* client : clients) {
@@ -294,7 +294,7 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("shutdown: a process that stands still while its listener should close loses no connection") {
+TEST_CASE("shutdown: a process stopped at the listener's closing time loses no connection") {
     Site t(replyWithRequestId);
     t.terminate();
     t.world.sendSignal(SIGSTOP);
@@ -309,12 +309,12 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("shutdown: SIGTERM before the first list: clients that wait are served") {
+TEST_CASE("shutdown: with SIGTERM before the first list, waiting clients are served") {
     ProgramHarness world;
     StubHttpNode node(world.base.get(), replyWithRequestId);
     world.config["known"]["hosts"] =
         Json::array({world.makeNodeEntry("s-1", node.listener.address, 5, "ready")});
-    world.config["settings"]["Rules"]["DrainGraceMs"] = 60'000;  // it waits for a list for 0.4 s
+    world.config["settings"]["Rules"]["DrainGraceMs"] = 60'000;  // the program waits 0.4 s for a list
     world.setDiscoveryAnswers(false);
     world.startAndTerminate();
     TestConnection& client = world.connect();
@@ -327,7 +327,7 @@
     CHECK(world.stopAndWait() == 0);
 }
 
-TEST_CASE("shutdown: clients that rest or say nothing hold the exit up no longer than the listener is open") {
+TEST_CASE("shutdown: idle and silent clients do not delay the exit beyond the closing of the listener") {
     Site t(silent, longDeadlines);
     TestConnection& rests = t.world.connect();
     rests.send("GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n");
@@ -342,7 +342,7 @@
     CHECK(says.received.empty());
 }
 
-TEST_CASE("shutdown: a long answer that stands still is cut short of its length, and the program ends") {
+TEST_CASE("shutdown: a stalled long answer is cut off, and the program exits") {
     const std::string part(200'000, 'y');
     Site t(
         [&](TestConnection& wire, const ParsedHttpMessage&) {
@@ -353,7 +353,7 @@
     client.send(t.world.makeRequest("0000000000000001", "", kLongDeadlineMs));
     REQUIRE(t.world.waitUntil([&] { return client.received.size() >= part.size(); }));
     t.terminate();
-    // Its answer may stand still for 10 s without a shutdown.
+    // Without a shutdown an answer may stall for 10 s.
     REQUIRE(t.logged("end: exits", 8000));
     REQUIRE(t.world.waitUntil([&] { return client.closedByPeer; }));
     CHECK(client.received.size() < 400'000);
@@ -372,7 +372,7 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against a shutdown that still counts by deadlines that are no more, and one that grows under way.
+// Guards against a shutdown that counts by outdated deadlines, and one that becomes longer while it runs.
 TEST_CASE("shutdown: the shorter of the deadlines before and after a SIGHUP counts") {
     int before = 2500, after = 300;
     bool during = false;
@@ -390,18 +390,19 @@
     t.world.sendSignal(SIGHUP);
     REQUIRE(t.logged("configuration: read"));
     if (!during) t.terminate();
-    // 300 ms and 0.7 s, less what may pass until the signal is seen.
+    // 300 ms and 0.7 s, less the time that may pass until the signal is handled.
     CHECK(t.logged("sigkill_after_ms=830", 1000));
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against the default action, which ends a process that has not got to its signals yet with 143.
-TEST_CASE("shutdown: SIGTERM while the configuration is read ends the program with 0") {
+// Guards against the signal's default action, which ends a process that has not installed its handlers yet
+// with exit code 143.
+TEST_CASE("shutdown: SIGTERM while the configuration is read leads to exit code 0") {
     ProgramHarness world;
     CHECK(world.terminateDuringConfigRead() == 0);
 }
 
-TEST_CASE("shutdown: evacuated, requests that were sent behind one another are all answered") {
+TEST_CASE("shutdown: an evacuated program answers all pipelined requests") {
     ReservedAddress ops;
     Site t(replyWithRequestId, [&](ProgramHarness& world) { world.config["ops"] = ops.toString(); });
     TestConnection& caller = t.world.connect(ops);
@@ -418,15 +419,15 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-// Guards against an exit that a client holds up which never stops sending, one request behind the other.
-TEST_CASE("shutdown: a flood of requests on one connection is ended, and holds up no other client's answer") {
+// Guards against an exit that is delayed by a client that never stops pipelining requests.
+TEST_CASE("shutdown: a flood of requests on one connection is ended and delays no other client's answer") {
     Site t(replyWithRequestId, longDeadlines);
     const std::string one = t.world.makeRequest("0000000000000001", "", kLongDeadlineMs);
     std::string many;
     while (many.size() < 60'000) many += one;
     TestConnection& flood = t.world.connect();
     bool reads = true;
-    SUBCASE("that is read") {}
+    SUBCASE("whose answers are read") {}
     SUBCASE("whose answers are not read") { reads = false; }
     flood.setReading(reads);
     flood.send(many);
--- a/tests/program/spoilt_test.cpp
+++ b/tests/program/spoilt_test.cpp
@@ -1,5 +1,4 @@
-// What nodes send that is spoilt, or more than belongs to their answer: the program between HTTP clients and
-// nodes whose bytes are written out by hand.
+// Tests of malformed responses and of surplus bytes from nodes, whose responses are written out byte by byte.
 #include <doctest/doctest.h>
 
 #include "program_harness.h"
@@ -8,7 +7,7 @@
 
 namespace {
 
-/// A node whose first request on each of its first connections gets `bytes`; all others are served.
+/// A node that answers the first request on each of its first connections with `bytes` and serves all others.
 struct Spoiling {
     explicit Spoiling(std::string first, int connections = 1)
         : bytes(std::move(first)),
@@ -37,10 +36,9 @@
 
 }  // namespace
 
-// Guards against serving what no node made: each of these was once taken for an answer, or kept the
-// connection in use. The request has run as far as anyone can tell, and a read goes out again, on another
-// connection.
-TEST_CASE("a spoilt answer is an attempt that may have run, and its connection is not used again") {
+// Guards against serving malformed responses: each of these was once accepted, or its connection was kept.
+// Since the request may have run, a read is retried, on another connection.
+TEST_CASE("a malformed response means that the request may have run, and its connection is not reused") {
     const std::string ok = "HTTP/1.1 200 OK\r\n";
     for (const std::string& bytes : std::vector<std::string>{
              "\x16\x03\x01 noise \xff\xfe\r\n\r\n",
@@ -73,8 +71,8 @@
     }
 }
 
-// Guards against the next request on a connection being served with what came behind the last one's answer.
-TEST_CASE("bytes behind a good answer: it is served, and its connection is not used again") {
+// Guards against serving the next request on a connection with the bytes behind the previous answer.
+TEST_CASE("an answer with bytes behind it is served, and its connection is not reused") {
     for (const std::string& bytes :
          std::vector<std::string>{kGood + kGood, kGood + "noise", kGood + "\r\n"}) {
         Spoiling t(bytes);
@@ -87,8 +85,8 @@
     }
 }
 
-// The same where they come a moment later, while the connection rests.
-TEST_CASE("bytes on a resting connection end it") {
+// The same if the bytes arrive later, while the connection is idle.
+TEST_CASE("bytes on an idle node connection close it") {
     Spoiling t(kGood);
     CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).body == "the answer");
     t.node.listener.connections.front().send(kGood);
@@ -97,8 +95,10 @@
     CHECK(t.connections() == 2);
 }
 
-// Guards against 1xx answers being taken for the final one, and against a load report spoiling its answer.
-TEST_CASE("good answers with more than is needed are served as they are, on a connection that stays") {
+// Guards against taking 1xx responses for the final one, and against rejecting an answer for its load report.
+TEST_CASE(
+    "answers with 1xx responses, extra headers, chunk extensions or trailers are served, and the connection "
+    "is kept") {
     const std::string chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n4;x=y\r\nthe \r\n6\r\nanswer\r\n0\r\nT: "
         "1\r\n\r\n";
@@ -117,26 +117,26 @@
     }
 }
 
-// Guards against taking long answers for spoilt: only requests hold 64 KiB at most. And against memory that
-// answers could fill: of a client that could not tell a break from an end, one beyond its part of it is given
-// up, and what has left is not held.
-TEST_CASE("an answer longer than a request may be is served; one that is held has its part of the memory") {
+// Guards against rejecting long answers: only requests are limited to 64 KiB. Also guards against answers
+// that fill the memory: for an HTTP/1.0 client, which cannot detect a truncated answer, an answer beyond the
+// limit for buffered ones is abandoned, and bytes that have been sent no longer count.
+TEST_CASE("an answer longer than the request limit is served; a buffered answer is limited in memory") {
     const std::string longest(500'000, 'y');
     Spoiling t(makeHttpReply(200, longest));
     CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).body == longest);
     CHECK(t.world.readCounter("attempt_spoilt") == 0);
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("answer_bytes") == 0; }));
-    Spoiling tooMuch(makeHttpReply(200, std::string(7'000'000, 'y')));  // of 192 MB: 6 MB
+    Spoiling tooMuch(makeHttpReply(200, std::string(7'000'000, 'y')));  // the limit is 6 MB of 192 MB
     std::string older = tooMuch.world.makeRequest("0000000000000001");
     older.replace(older.find("HTTP/1.1"), 8, "HTTP/1.0");
     CHECK(tooMuch.world.sendRequest(older).statusCode() ==
-          200);  // by the second connection: the first one's was given up
+          200);  // served on the second connection; the first response was abandoned
     CHECK(tooMuch.connections() == 2);
     CHECK(tooMuch.world.readCounter("attempt_spoilt") == 1);
 }
 
-// Guards against a second run of what may have run already, where no repeat is dropped any more.
-TEST_CASE("an answer that never becomes whole ends with the request, in one failure or refusal") {
+// Guards against running a request a second time when the node no longer drops repeats.
+TEST_CASE("an answer that is never completed ends with the request, in one failure") {
     Spoiling t("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nhalf", 9);
     const ParsedHttpMessage answer =
         t.world.sendRequest(t.world.makeRequest("0000000000000001", "", 400, "text"));
--- a/tests/program/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// Two processes of the program on one machine: sockets change hands, and no client meets a closed door.
+// Tests of the handover of sockets between two processes on one machine: no client's connection is refused.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// One process serves, another begins beside it, with the same configuration but another second address. Both
-/// worlds share a loop.
+/// A running process and its successor. Their configurations differ only in the address of the operations
+/// endpoint, and both harnesses share an event loop.
 struct Upgrade {
     Upgrade()
         : next(old.base.get()),
@@ -39,7 +39,7 @@
             [&] { return (answer = takeHttpMessage(wire.received)).has_value() || wire.closedByPeer; });
         return answer ? answer->statusCode() : 0;
     }
-    /// Waits until the next one takes clients.
+    /// Waits until the successor accepts clients.
     bool takesOver() {
         return old.waitUntil([&] { return old.log.find("steps aside") != std::string::npos; });
     }
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE("upgrade: the next process takes the sockets, the old one finishes what it has") {
+TEST_CASE("upgrade: the successor takes over the sockets, the old process finishes its requests") {
     Upgrade t;
     TestConnection& kept = t.old.connect();
     kept.send(t.old.makeRequest("0000000000000001"));
@@ -70,8 +70,8 @@
     CHECK(t.ready(1) == 200);
     CHECK(t.ready(0) == 503);
     CHECK(t.next.readCounter("handover_learned") == 1);
-    // New connections are the next one's; kept ones are served once more by the old one, and end with that
-    // answer.
+    // New connections go to the successor. A kept one is served once more by the old process, which closes it
+    // after that answer.
     CHECK(t.old.sendRequest(t.old.makeRequest("0000000000000003")).statusCode() == 200);
     std::optional<ParsedHttpMessage> answer;
     kept.send(t.old.makeRequest("0000000000000004"));
@@ -85,7 +85,7 @@
     CHECK(answer->body == "by the old one");
     CHECK(t.old.stopAndWait() == 0);
     CHECK(t.old.log.find("request_taken=3") != std::string::npos);
-    // With the next one connections are kept as ever.
+    // The successor keeps connections as usual.
     TestConnection& after = t.next.connect();
     for (const char* id : {"0000000000000005", "0000000000000006"}) {
         after.send(t.next.makeRequest(id));
@@ -100,8 +100,8 @@
     CHECK(t.next.stopAndWait() == 0);
 }
 
-// Guards against a process that has stepped aside and drops at its end what it has read.
-TEST_CASE("upgrade: the old one answers at its end what hangs, what came behind it and what came in part") {
+// Guards against an old process that drops requests at its exit after a successor has taken over.
+TEST_CASE("upgrade: the old process answers hanging, pipelined and incomplete requests at its exit") {
     Upgrade t;
     t.answering = false;
     TestConnection& hangs = t.old.connect();
@@ -130,7 +130,8 @@
     CHECK(t.next.stopAndWait() == 0);
 }
 
-TEST_CASE("upgrade: a next process that dies gives the clients back, and another one can follow") {
+TEST_CASE(
+    "upgrade: after the successor dies the old process serves again, and another successor can follow") {
     Upgrade t;
     t.next.start();
     REQUIRE(t.takesOver());
@@ -148,8 +149,8 @@
 
 namespace {
 
-/// A stand-in for the process that serves: gives the descriptor `fd` away under the name "other", and behind
-/// it says `told`.
+/// Stands in for a running process: hands over the descriptor `fd` under the name "other" and then sends
+/// `told`.
 void giveAway(const std::string& path, int fd, const std::string& told) {
     const int listener = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_un address{};
@@ -174,7 +175,7 @@
         std::memcpy(CMSG_DATA(head), &fd, sizeof fd);
         (void)sendmsg(taker, &message, MSG_NOSIGNAL);
         char ready = 0;
-        (void)!recv(taker, &ready, 1, 0);  // until it takes clients, or is gone
+        (void)!recv(taker, &ready, 1, 0);  // until it accepts clients or has exited
         close(taker);
         close(listener);
     }).detach();
@@ -182,18 +183,18 @@
 
 }  // namespace
 
-// Guards against a start that is refused, or goes on with half of what was learned, for what another process
-// says.
-TEST_CASE("upgrade: what was learned and cannot be read whole leaves a fresh start") {
+// Guards against a start that fails, or continues with half of the learned state, because of what another
+// process sends.
+TEST_CASE("upgrade: a learned state that cannot be read completely leads to a fresh start") {
     ProgramHarness world;
     std::string told;
-    SUBCASE("none") { told = "0\n"; }
-    SUBCASE("cut off") { told = "4000\nlearned1 17"; }
+    SUBCASE("empty state") { told = "0\n"; }
+    SUBCASE("truncated") { told = "4000\nlearned1 17"; }
     SUBCASE("no length") { told = "what was learned, for the next process\n"; }
     SUBCASE("too long") { told = "99999999999\nlearned1"; }
     SUBCASE("stale") { told = "20\nlearned1 5 5\nend 1\n"; }
     SUBCASE("nonsense") { told = "9\nfoo\nbar\n\n"; }
-    SUBCASE("nothing") {}
+    SUBCASE("nothing sent") {}
     StubHttpNode node(world.base.get(), replyWithRequestId);
     world.config["known"]["hosts"].push_back(world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
     const ReservedAddress ops;
@@ -209,8 +210,8 @@
     close(fd);
 }
 
-// Guards against a start that waits for, or trips over, what a killed process left in the folder.
-TEST_CASE("upgrade: a process that was killed leaves nothing that keeps the next one from its start") {
+// Guards against a start that waits for, or fails because of, files that a killed process left behind.
+TEST_CASE("upgrade: a killed process leaves nothing behind that prevents the next start") {
     Upgrade t;
     CHECK(t.old.stopAndWait(SIGKILL) == 128 + SIGKILL);
     t.next.start();
