--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -34,7 +34,8 @@
 
 /// Sends one line with the names, each followed by a blank, and the descriptors in the same order; then the
 /// learned state. Returns false if the sockets could not be sent.
-bool sendHandover(int to, const std::map<std::string, int>& sockets, const std::string& learnedState) {
+bool sendHandover(int connection, const std::map<std::string, int>& sockets,
+                  const std::string& learnedState) {
     std::string names;
     std::vector<int> fds;
     for (const auto& [name, fd] : sockets) {
@@ -44,29 +45,29 @@
     names += std::string(kLearnedStateName) + " \n";
     if (fds.empty() || fds.size() > kMaxSockets || names.size() > kMaxNamesBytes) return false;
     alignas(cmsghdr) char control[CMSG_SPACE(kMaxSockets * sizeof(int))] = {};
-    iovec text{names.data(), names.size()};
+    iovec buffer{names.data(), names.size()};
     msghdr message{};
-    message.msg_iov = &text;
+    message.msg_iov = &buffer;
     message.msg_iovlen = 1;
     message.msg_control = control;
     message.msg_controllen = CMSG_SPACE(fds.size() * sizeof(int));
-    cmsghdr* head = CMSG_FIRSTHDR(&message);
-    head->cmsg_level = SOL_SOCKET;
-    head->cmsg_type = SCM_RIGHTS;
-    head->cmsg_len = CMSG_LEN(fds.size() * sizeof(int));
-    std::memcpy(CMSG_DATA(head), fds.data(), fds.size() * sizeof(int));
-    if (sendmsg(to, &message, MSG_NOSIGNAL | MSG_DONTWAIT) != static_cast<ssize_t>(names.size()))
+    cmsghdr* header = CMSG_FIRSTHDR(&message);
+    header->cmsg_level = SOL_SOCKET;
+    header->cmsg_type = SCM_RIGHTS;
+    header->cmsg_len = CMSG_LEN(fds.size() * sizeof(int));
+    std::memcpy(CMSG_DATA(header), fds.data(), fds.size() * sizeof(int));
+    if (sendmsg(connection, &message, MSG_NOSIGNAL | MSG_DONTWAIT) != static_cast<ssize_t>(names.size()))
         return false;
     // The state is sent whole or not at all; the receiver ignores a truncated one.
     const std::string state = learnedState.size() > kMaxLearnedStateBytes ? "" : learnedState;
     const std::string stateText = std::to_string(state.size()) + '\n' + state;
-    (void)!send(to, stateText.data(), stateText.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    (void)!send(connection, stateText.data(), stateText.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return true;
 }
 
 /// Reads the learned state; `received` holds the bytes that have arrived already. Returns an empty text if
 /// the state is truncated, malformed or not received within the socket's timeout.
-std::string readLearnedState(int from, std::string received) {
+std::string readLearnedState(int connection, std::string received) {
     std::size_t length = 0, stateBegin = 0;
     for (;;) {
         const std::size_t end = received.find('\n');
@@ -80,7 +81,7 @@
             return received.substr(stateBegin, length);
         if (stateBegin == 0 && received.size() > 20) return "";  // longer than any valid length
         char chunk[16 * 1024];
-        const ssize_t read = recv(from, chunk, sizeof chunk, 0);
+        const ssize_t read = recv(connection, chunk, sizeof chunk, 0);
         if (read < 0 && errno == EINTR) continue;
         if (read <= 0) return "";
         received.append(chunk, static_cast<std::size_t>(read));
@@ -107,20 +108,21 @@
 }
 
 void ReceivedHandover::notifyReady() const {
-    (void)!send(giverConnection.get(), &kReadyByte, 1, MSG_NOSIGNAL | MSG_DONTWAIT);
+    (void)!send(predecessorConnection.get(), &kReadyByte, 1, MSG_NOSIGNAL | MSG_DONTWAIT);
 }
 
 std::optional<ReceivedHandover> requestHandover(const std::string& path, const Limits& limits) {
     const auto address = toUnixAddress(path);
     if (!address) return std::nullopt;
     ReceivedHandover handover;
-    handover.giverConnection.reset(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    handover.predecessorConnection.reset(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const timeval timeout = toTimeval(limits.handoverTimeoutMs);
-    if (handover.giverConnection.get() < 0 ||
-        setsockopt(handover.giverConnection.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout) != 0 ||
-        connect(handover.giverConnection.get(), reinterpret_cast<const sockaddr*>(&*address),
+    if (handover.predecessorConnection.get() < 0 ||
+        setsockopt(handover.predecessorConnection.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout) !=
+            0 ||
+        connect(handover.predecessorConnection.get(), reinterpret_cast<const sockaddr*>(&*address),
                 sizeof *address) != 0 ||
-        !sameUser(handover.giverConnection.get()))
+        !sameUser(handover.predecessorConnection.get()))
         return std::nullopt;
     char names[kMaxNamesBytes];
     alignas(cmsghdr) char control[CMSG_SPACE(kMaxSockets * sizeof(int))] = {};
@@ -131,16 +133,16 @@
     message.msg_control = control;
     message.msg_controllen = sizeof control;
     ssize_t received = 0;
-    do received = recvmsg(handover.giverConnection.get(), &message, MSG_CMSG_CLOEXEC);
+    do received = recvmsg(handover.predecessorConnection.get(), &message, MSG_CMSG_CLOEXEC);
     while (received < 0 && errno == EINTR);
     std::vector<FileDescriptor> fds;
-    for (cmsghdr* head = CMSG_FIRSTHDR(&message); received > 0 && head != nullptr;
-         head = CMSG_NXTHDR(&message, head)) {
-        if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS) continue;
-        for (std::size_t offset = 0; offset + sizeof(int) <= head->cmsg_len - CMSG_LEN(0);
+    for (cmsghdr* header = CMSG_FIRSTHDR(&message); received > 0 && header != nullptr;
+         header = CMSG_NXTHDR(&message, header)) {
+        if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
+        for (std::size_t offset = 0; offset + sizeof(int) <= header->cmsg_len - CMSG_LEN(0);
              offset += sizeof(int)) {
             int fd = -1;
-            std::memcpy(&fd, CMSG_DATA(head) + offset, sizeof fd);
+            std::memcpy(&fd, CMSG_DATA(header) + offset, sizeof fd);
             fds.emplace_back(fd);
         }
     }
@@ -161,8 +163,9 @@
     }
     if (handover.sockets.empty()) return std::nullopt;
     if (hasLearnedState)
-        handover.learnedState = readLearnedState(
-            handover.giverConnection.get(), std::string(text.substr(std::min(text.size(), line.size() + 1))));
+        handover.learnedState =
+            readLearnedState(handover.predecessorConnection.get(),
+                             std::string(text.substr(std::min(text.size(), line.size() + 1))));
     return handover;
 }
 
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -39,7 +39,7 @@
 struct ReceivedHandover {
     std::map<std::string, FileDescriptor> sockets;
     std::string learnedState;  ///< empty: none received, or truncated
-    FileDescriptor giverConnection;
+    FileDescriptor predecessorConnection;
 
     /// Returns the socket of that name, which the caller then owns; -1 if there is none.
     [[nodiscard]] int takeSocket(const std::string& name);
--- a/src/http/response_stream.cpp
+++ b/src/http/response_stream.cpp
@@ -33,9 +33,9 @@
 
 bool ResponseStream::startAttempt(const Address& node, const NodeRequest& request,
                                   const AttemptTimeouts& timeouts) {
-    exchange_ =
+    inFlightRequest_ =
         pool_.send(node, request, timeouts, [this](NodeReply reply) { attemptEnded(std::move(reply)); });
-    return exchange_ != nullptr;
+    return inFlightRequest_ != nullptr;
 }
 
 // evhttp applies its idle timeout for reading also while it writes a response, so there is no read timeout
@@ -80,12 +80,12 @@
     const evbuffer* output = bufferevent_get_output(evhttp_connection_get_bufferevent(connection));
     if (readingPaused_ || evbuffer_get_length(output) <= limits_.maxStreamBufferBytes) return;
     readingPaused_ = true;
-    exchange_->setReading(false);
+    inFlightRequest_->setReading(false);
 }
 
 void ResponseStream::onOutputDrained(evhttp_connection*, void* arg) {
     auto* self = static_cast<ResponseStream*>(arg);
-    if (std::exchange(self->readingPaused_, false)) self->exchange_->setReading(true);
+    if (std::exchange(self->readingPaused_, false)) self->inFlightRequest_->setReading(true);
 }
 
 void ResponseStream::attemptEnded(NodeReply reply) {
--- a/src/http/response_stream.h
+++ b/src/http/response_stream.h
@@ -39,7 +39,7 @@
     [[nodiscard]] bool startAttempt(const Address& node, const NodeRequest& request,
                                     const AttemptTimeouts& timeouts);
     /// Returns whether any bytes of the request have been written to the node.
-    [[nodiscard]] bool hasSentBytes() const { return exchange_->hasSentBytes(); }
+    [[nodiscard]] bool hasSentBytes() const { return inFlightRequest_->hasSentBytes(); }
 
     /// Sends status and headers to the client; the body follows through onBodyData().
     void sendHeaders(evhttp_request* request, DoneCallback done);
@@ -64,7 +64,7 @@
     Counters& counters_;
     Callbacks callbacks_;
     DoneCallback onDone_;
-    std::unique_ptr<InFlightRequest<HttpNodeConnection>> exchange_;
+    std::unique_ptr<InFlightRequest<HttpNodeConnection>> inFlightRequest_;
     std::string contentType_;
     std::optional<std::uint64_t> length_;
     evhttp_request* request_ = nullptr;
