--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -234,7 +234,7 @@
     onTakeoverChange_(true);
 }
 
-// If the successor had taken over, nobody would accept clients any more, so this process resumes.
+// If the successor had taken over, no process would accept clients any more, so this process resumes.
 void HandoverServer::onSuccessorGone() {
     successorEvent_.reset();
     successorConnection_.reset();
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -21,7 +21,7 @@
 namespace martencove {
 namespace {
 
-/// Reads what a client has sent behind the request in work, until `maxBytes` bytes are in the buffer from
+/// Reads what a client has sent behind the request in progress, until `maxBytes` bytes are in the buffer from
 /// which evhttp takes the next request. The client's close can be seen only behind these bytes. Returns false
 /// if the client has disconnected.
 bool readAhead(bufferevent* socket, std::size_t maxBytes) {
@@ -47,7 +47,7 @@
 public:
     HttpRequestHandler(HttpFront& front, evhttp_request* request, DecodedRequest decoded)
         : front_(front), request_(request), decodedRequest_(std::move(decoded)) {
-        // evhttp does not read while a request is in work, so the client's close has to be detected here.
+        // evhttp does not read while a request is in progress, so the client's close has to be detected here.
         disconnectWatch_.reset(
             event_new(front.base_, bufferevent_getfd(clientBufferevent()), EV_READ, onClientReadable, this));
         event_add(disconnectWatch_.get(), nullptr);
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -53,7 +53,7 @@
     /// Closes the listener once the connections in its queue have been accepted, or at once and without them
     /// (`atOnce`). Returns whether the listener is closed; to be called again until it is.
     [[nodiscard]] bool closeListener(bool atOnce);
-    /// Closes the connections without a request in work or unsent output. `refusePartial`: also refuses
+    /// Closes the connections without a request in progress or unsent output. `refusePartial`: also refuses
     /// requests that have arrived in part, and closes their connections.
     void closeFinishedConnections(bool refusePartial);
     /// Returns whether no connection is left that may still bring a request, and all answers have been
@@ -128,7 +128,7 @@
         BuffereventRef buffers;                  // keeps the descriptor for a lingering close
         bool lingerOnClose = false;              // the present answer closes the connection
         std::size_t answersWhileClosing = 0;     // answers since the connection should be closed
-        HttpRequestHandler* handler = nullptr;   // of the request in work, or null
+        HttpRequestHandler* handler = nullptr;   // of the request in progress, or null
         std::unique_ptr<ResponseStream> stream;  // the answer being streamed, or null
         double lastUsedMs = 0;                   // time of the last request or answer
         std::unique_ptr<InputTracker> input;
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -208,7 +208,8 @@
     CHECK(program.readCounter("client_crowd") > 0);
 }
 
-// Guards against evhttp reading on while a request is in work: the second request has to wait for its turn.
+// Guards against evhttp reading on while a request is in progress: the second request has to wait for its
+// turn.
 TEST_CASE("two pipelined requests are answered in order") {
     OneNodeFixture test;
     TestConnection& client = test.program.connect();
