--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -21,32 +21,33 @@
 namespace martencove {
 namespace {
 
-/// Reads what a client has sent before its turn, up to `most` bytes, into the buffers out of which evhttp
-/// takes the next request: a close shows only behind it. False: the client has gone.
-bool readEarly(bufferevent* socket, std::size_t most) {
+/// Reads what a client has sent behind the request in progress, until `maxBytes` bytes are in the buffer from
+/// which evhttp takes the next request. The client's close can be seen only behind these bytes. Returns false
+/// if the client has disconnected.
+bool readAhead(bufferevent* socket, std::size_t maxBytes) {
     const evutil_socket_t fd = bufferevent_getfd(socket);
     evbuffer* input = bufferevent_get_input(socket);
-    char some[4096];
-    while (evbuffer_get_length(input) < most) {
-        const ssize_t got = recv(fd, some, sizeof some, MSG_DONTWAIT);
-        if (got == 0) return false;
-        if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-        evbuffer_unfreeze(input, 0);  // libevent keeps the end to its own reads
-        evbuffer_add(input, some, static_cast<std::size_t>(got));
+    char chunk[4096];
+    while (evbuffer_get_length(input) < maxBytes) {
+        const ssize_t received = recv(fd, chunk, sizeof chunk, MSG_DONTWAIT);
+        if (received == 0) return false;
+        if (received < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
+        evbuffer_unfreeze(input, 0);  // libevent allows only its own reads to append
+        evbuffer_add(input, chunk, static_cast<std::size_t>(received));
         evbuffer_freeze(input, 0);
     }
-    pollfd look{fd, POLLRDHUP, 0};  // the rest stays with the system, and a close behind it too
-    return poll(&look, 1, 0) <= 0 || (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0;
+    pollfd closeCheck{fd, POLLRDHUP, 0};  // with bytes left in the kernel, a close shows as POLLRDHUP
+    return poll(&closeCheck, 1, 0) <= 0 || (closeCheck.revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0;
 }
 
 }  // namespace
 
-/// A request of a client, until its answer is handed to its connection or the client is gone.
+/// Handles one client request until its answer is handed to the connection or the client has disconnected.
 class HttpRequestHandler final : public RequestHandler {
 public:
-    HttpRequestHandler(HttpFront& front, evhttp_request* request, DecodedRequest message)
-        : front_(front), request_(request), decodedRequest_(std::move(message)) {
-        // evhttp does not read while a request is in work, so the client's close must be looked for.
+    HttpRequestHandler(HttpFront& front, evhttp_request* request, DecodedRequest decoded)
+        : front_(front), request_(request), decodedRequest_(std::move(decoded)) {
+        // evhttp does not read while a request is in progress, so the client's close has to be detected here.
         disconnectWatch_.reset(
             event_new(front.base_, bufferevent_getfd(clientBufferevent()), EV_READ, onClientReadable, this));
         event_add(disconnectWatch_.get(), nullptr);
@@ -60,46 +61,46 @@
 
     void sendAttempt(const Attempt& attempt, const NodeEntry& node) override {
         NodeRequest request = decodedRequest_.nodeRequest;
-        const int number = attempt.number;
+        const int attemptNumber = attempt.number;
         const auto address = parseAddress(node.address);
         auto stream = std::make_unique<ResponseStream>(
             front_.pool_, front_.limits_, front_.dispatcher_.counters(),
             ResponseStream::Callbacks{
-                [this, number] { return streamStarted(number); },
-                [this, number](NodeReply reply) { attemptEnded(number, std::move(reply)); }});
-        // An older client could not tell a long answer that breaks from one that ends.
+                [this, attemptNumber] { return streamStarted(attemptNumber); },
+                [this, attemptNumber](NodeReply reply) { attemptEnded(attemptNumber, std::move(reply)); }});
+        // No streaming to HTTP/1.0 clients: they cannot tell a truncated answer from a complete one.
         if (request_ != nullptr && request_->major == 1 && request_->minor >= 1) request.sink = stream.get();
         if (!address || !stream->startAttempt(*address, request, attempt.timeouts))
-            return front_.dispatcher_.attemptEnded(id(), number, AttemptStatus::notConnected);
-        streams_[number] = std::move(stream);
+            return front_.dispatcher_.attemptEnded(id(), attemptNumber, AttemptStatus::notConnected);
+        streams_[attemptNumber] = std::move(stream);
     }
 
-    void cancelAttempt(int attempt) override { streams_.erase(attempt); }
+    void cancelAttempt(int attemptNumber) override { streams_.erase(attemptNumber); }
 
-    bool cancelIfUnsent(int attempt) override { return eraseIfUnsent(streams_, attempt); }
+    bool cancelIfUnsent(int attemptNumber) override { return eraseIfUnsent(streams_, attemptNumber); }
 
-    /// A long answer begins. To the decisions the request is served: what comes is the connection's matter.
-    /// Whether it goes on.
-    bool streamStarted(int attempt) {
-        const auto at = streams_.find(attempt);
-        startedStream_ = std::move(at->second);
-        streams_.erase(at);
+    /// Called when a long response begins. The dispatcher counts the request as served, so that no further
+    /// attempt is made; the client's connection takes over the stream. Returns whether the stream goes on.
+    bool streamStarted(int attemptNumber) {
+        const auto started = streams_.find(attemptNumber);
+        startedStream_ = std::move(started->second);
+        streams_.erase(started);
         HttpFront& front = front_;
         const ResponseStream* stream = startedStream_.get();
         evhttp_connection* connection =
             request_ == nullptr ? nullptr : evhttp_request_get_connection(request_);
-        front.dispatcher_.attemptEnded(RequestId(id()), attempt,
-                                       AttemptStatus::served);  // the last of this job
+        front.dispatcher_.attemptEnded(RequestId(id()), attemptNumber,
+                                       AttemptStatus::served);  // may free this object
         const auto client = front.connections_.find(connection);
         return client != front.connections_.end() && client->second.stream.get() == stream;
     }
 
-    void attemptEnded(int attempt, NodeReply reply) {
-        const AttemptStatus ending = reply.status;
-        if (ending == AttemptStatus::served && servedReply_.status != AttemptStatus::served)
+    void attemptEnded(int attemptNumber, NodeReply reply) {
+        const AttemptStatus status = reply.status;
+        if (status == AttemptStatus::served && servedReply_.status != AttemptStatus::served)
             servedReply_ = std::move(reply);
-        streams_.erase(attempt);
-        front_.dispatcher_.attemptEnded(RequestId(id()), attempt, ending);
+        streams_.erase(attemptNumber);
+        front_.dispatcher_.attemptEnded(RequestId(id()), attemptNumber, status);
     }
 
     void sendAnswer(const Answer& answer) override {
@@ -109,10 +110,10 @@
             auto& client = front_.connections_.at(evhttp_request_get_connection(request));
             client.stream = std::move(startedStream_);
             front_.decideConnectionClose(request);
-            return client.stream->sendHeaders(request,
-                                              [front = &front_](evhttp_connection* connection, bool whole) {
-                                                  front->streamDone(connection, whole);
-                                              });
+            return client.stream->sendHeaders(
+                request, [front = &front_](evhttp_connection* connection, bool complete) {
+                    front->streamDone(connection, complete);
+                });
         }
         evkeyvalq* headers = evhttp_request_get_output_headers(request);
         switch (answer.status) {
@@ -132,25 +133,26 @@
         }
     }
 
-    /// The client's connection is closing.
+    /// Called when the client's connection is being closed.
     void clientDisconnected() {
         evhttp_request* request = detachRequest();
-        // evhttp has let go of a request whose connection broke by itself.
+        // evhttp has detached a request whose connection broke by itself; it has to be freed here.
         if (request != nullptr && evhttp_request_get_connection(request) == nullptr)
             evhttp_request_free(request);
         front_.dispatcher_.clientDisconnected(id());
     }
 
 private:
-    /// Takes the request from the connection's care.
+    /// Ends the handler's use of the request and marks its connection as no longer busy. Returns null if that
+    /// has been done before.
     evhttp_request* detachRequest() {
         disconnectWatch_.reset();
         evhttp_request* request = std::exchange(request_, nullptr);
         if (request == nullptr) return nullptr;
-        const auto at = front_.connections_.find(evhttp_request_get_connection(request));
-        if (at != front_.connections_.end()) {
-            at->second.handler = nullptr;
-            at->second.lastUsedMs = front_.dispatcher_.nowMs();
+        const auto client = front_.connections_.find(evhttp_request_get_connection(request));
+        if (client != front_.connections_.end()) {
+            client->second.handler = nullptr;
+            client->second.lastUsedMs = front_.dispatcher_.nowMs();
         }
         return request;
     }
@@ -161,17 +163,18 @@
 
     static void onClientReadable(evutil_socket_t, short, void* arg) {
         auto* self = static_cast<HttpRequestHandler*>(arg);
-        const std::size_t most = self->front_.limits_.maxReadAheadBytes;
-        if (readEarly(self->clientBufferevent(), most)) {
-            // Of one that has sent more than is read now, looked at again and again instead.
-            const bool full = evbuffer_get_length(bufferevent_get_input(self->clientBufferevent())) >= most;
+        const std::size_t maxBytes = self->front_.limits_.maxReadAheadBytes;
+        if (readAhead(self->clientBufferevent(), maxBytes)) {
+            // With the buffer full the socket would stay readable, so it is checked by a timer instead.
+            const bool full =
+                evbuffer_get_length(bufferevent_get_input(self->clientBufferevent())) >= maxBytes;
             if (full)
                 event_assign(self->disconnectWatch_.get(), self->front_.base_, -1, 0, onClientReadable, self);
-            const timeval soon = toTimeval(self->front_.limits_.readAheadCheckIntervalMs);
-            event_add(self->disconnectWatch_.get(), full ? &soon : nullptr);
+            const timeval checkInterval = toTimeval(self->front_.limits_.readAheadCheckIntervalMs);
+            event_add(self->disconnectWatch_.get(), full ? &checkInterval : nullptr);
             return;
         }
-        // Closes the connection, and with it frees the request.
+        // Closing the connection also frees the request.
         evhttp_connection* connection = evhttp_request_get_connection(self->request_);
         const RequestId id = self->id();
         Dispatcher& dispatcher = self->front_.dispatcher_;
@@ -181,52 +184,53 @@
     }
 
     HttpFront& front_;
-    evhttp_request* request_;  // null: answered, or the client is gone
+    evhttp_request* request_;  // null: answered, or the client has disconnected
     DecodedRequest decodedRequest_;
     NodeReply servedReply_;
-    std::map<int, std::unique_ptr<ResponseStream>> streams_;  // by attempt
-    std::unique_ptr<ResponseStream> startedStream_;           // whose long answer is about to go on
+    std::map<int, std::unique_ptr<ResponseStream>> streams_;  // by attempt number
+    std::unique_ptr<ResponseStream> startedStream_;           // of a long response that has begun
     LibeventPtr<event> disconnectWatch_;
 };
 
 namespace {
 
-/// Whether bytes have come that nobody has read: a request, perhaps, that a close would lose.
-bool unread(bufferevent* socket) {
-    int waiting = 0;
-    return ioctl(bufferevent_getfd(socket), FIONREAD, &waiting) != 0 || waiting > 0;
+/// Returns whether the socket has unread bytes. They may be a request, which closing the socket would lose.
+bool hasUnreadBytes(bufferevent* socket) {
+    int unreadBytes = 0;
+    return ioctl(bufferevent_getfd(socket), FIONREAD, &unreadBytes) != 0 || unreadBytes > 0;
 }
 
-/// The same, or it has been read and not taken.
+/// Returns whether the socket has unread bytes, or the input buffer has bytes that were not processed.
 bool hasInput(bufferevent* socket) {
-    return unread(socket) || evbuffer_get_length(bufferevent_get_input(socket)) > 0;
+    return hasUnreadBytes(socket) || evbuffer_get_length(bufferevent_get_input(socket)) > 0;
 }
 
-/// Whether an answer has not been written whole.
+/// Returns whether output is still to be written.
 bool hasOutput(bufferevent* socket) { return evbuffer_get_length(bufferevent_get_output(socket)) > 0; }
 
-/// Whether evhttp ends the connection once the request's answer is written.
+/// Returns whether evhttp closes the connection once the request's answer is written.
 bool endsWithAnswer(evhttp_request* request) {
-    const auto says = [](evkeyvalq* headers, const char* word) {
+    const auto hasConnectionOption = [](evkeyvalq* headers, const char* option) {
         const char* value = evhttp_find_header(headers, "Connection");
-        return value != nullptr && equalsIgnoreCase(value, word);
+        return value != nullptr && equalsIgnoreCase(value, option);
     };
-    evkeyvalq* asked = evhttp_request_get_input_headers(request);
-    const bool old = request->major < 1 || (request->major == 1 && request->minor < 1);
-    return says(evhttp_request_get_output_headers(request), "close") || says(asked, "close") ||
-           (old && !says(asked, "keep-alive"));
+    evkeyvalq* requestHeaders = evhttp_request_get_input_headers(request);
+    const bool isHttp10 = request->major < 1 || (request->major == 1 && request->minor < 1);
+    return hasConnectionOption(evhttp_request_get_output_headers(request), "close") ||
+           hasConnectionOption(requestHeaders, "close") ||
+           (isHttp10 && !hasConnectionOption(requestHeaders, "keep-alive"));
 }
 
-/// Ends a connection as evhttp does where its time is out: at once. After a shutdown it would first read, and
-/// take, a request that comes in that moment, and could not answer it.
+/// Closes a connection at once by firing its read timeout. After a plain shutdown of the socket evhttp would
+/// first read and accept a request that arrives in that moment, and could not answer it.
 void timeOut(bufferevent* socket) {
     bufferevent_trigger_event(socket, BEV_EVENT_READING | BEV_EVENT_TIMEOUT, 0);
 }
 
-/// Whether a connection waits to be accepted.
+/// Returns whether a connection waits to be accepted.
 bool connectionWaits(evutil_socket_t listener) {
-    pollfd look{listener, POLLIN, 0};
-    return poll(&look, 1, 0) > 0;
+    pollfd pending{listener, POLLIN, 0};
+    return poll(&pending, 1, 0) > 0;
 }
 
 constexpr std::string_view kPartialRefusal =
@@ -234,7 +238,7 @@
 
 }  // namespace
 
-HttpFront::InputTracker::InputTracker(bufferevent* b) : buffers(b) {
+HttpFront::InputTracker::InputTracker(bufferevent* connection) : buffers(connection) {
     evbuffer_add_cb(bufferevent_get_input(buffers), onInput, this);
 }
 
@@ -246,7 +250,7 @@
     auto* self = static_cast<InputTracker*>(arg);
     if (info->n_added == 0) return;
     self->requestStarted = true;
-    // What still comes after evhttp's end of the connection is nobody's: no more is read.
+    // Nothing processes what arrives after evhttp has closed the connection, so reading stops.
     if (closedByEvhttp(self->buffers)) bufferevent_disable(self->buffers, EV_READ);
 }
 
@@ -254,19 +258,19 @@
     return !requestStarted && !hasInput(buffers) && !hasOutput(buffers);
 }
 
-// What waits unread may be the rest: that is for evhttp to read first.
+// Unread bytes may complete the request, so evhttp has to read them first.
 bool HttpFront::InputTracker::hasPartialRequest() const {
-    const bool come = requestStarted || evbuffer_get_length(bufferevent_get_input(buffers)) > 0;
-    return come && !unread(buffers) && !hasOutput(buffers);
+    const bool hasBytes = requestStarted || evbuffer_get_length(bufferevent_get_input(buffers)) > 0;
+    return hasBytes && !hasUnreadBytes(buffers) && !hasOutput(buffers);
 }
 
 HttpFront::HttpFront(event_base* base, const Address& listen, Dispatcher& dispatcher,
-                     HttpNodeConnectionPool& pool, const limedrum::ProgramSettings& site,
+                     HttpNodeConnectionPool& pool, const limedrum::ProgramSettings& settings,
                      const Limits& limits, Log& log, int listener)
     : base_(base),
       dispatcher_(dispatcher),
       pool_(pool),
-      settings_(site),
+      settings_(settings),
       limits_(limits),
       log_(log),
       connectionCheckTimer_(base, [this] { checkConnections(); }),
@@ -287,7 +291,7 @@
 
 HttpFront::~HttpFront() = default;
 
-// Where another process has the listener too, it takes what waits there.
+// If another process shares the listener, that one accepts the waiting connections.
 bool HttpFront::closeListener(bool atOnce) {
     if (boundSocket_ == nullptr) return true;
     if (!atOnce && !listenerYielded_ && connectionWaits(listenerFd())) {
@@ -302,10 +306,11 @@
 
 void HttpFront::closeFinishedConnections(bool refusePartial) {
     closeIdleConnections(connections_.size(), 0);
-    const double before = dispatcher_.nowMs() - limits_.shutdownFirstRequestTimeoutMs;
+    const double acceptedBefore = dispatcher_.nowMs() - limits_.shutdownFirstRequestTimeoutMs;
     std::vector<bufferevent*> silent;
-    for (const auto& [buffers, unheard] : newConnections_)
-        if (unheard.acceptedAtMs <= before && unheard.input->isIdle()) silent.push_back(buffers);
+    for (const auto& [buffers, connection] : newConnections_)
+        if (connection.acceptedAtMs <= acceptedBefore && connection.input->isIdle())
+            silent.push_back(buffers);
     for (bufferevent* buffers : silent) timeOut(buffers);
     if (refusePartial) refusePartialRequests();
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
@@ -316,20 +321,20 @@
         dispatcher_.counters().add("request_partial_refused");
         (void)send(bufferevent_getfd(buffers), kPartialRefusal.data(), kPartialRefusal.size(), MSG_NOSIGNAL);
     };
-    std::vector<evhttp_connection*> used;
+    std::vector<evhttp_connection*> partial;
     for (auto& [connection, client] : connections_) {
         if (client.isBusy() || !client.input->hasPartialRequest()) continue;
         refuse(client.input->buffers);
         client.lingerOnClose = true;
-        used.push_back(connection);
+        partial.push_back(connection);
     }
-    for (evhttp_connection* connection : used) evhttp_connection_free(connection);
-    for (auto& [buffers, unheard] : newConnections_) {
-        if (closedByEvhttp(buffers) || !unheard.input->hasPartialRequest()) continue;
+    for (evhttp_connection* connection : partial) evhttp_connection_free(connection);
+    for (auto& [buffers, newConnection] : newConnections_) {
+        if (closedByEvhttp(buffers) || !newConnection.input->hasPartialRequest()) continue;
         refuse(buffers);
         timeOut(buffers);
-        unheard.input.reset();
-        lingeringCloses_.add(std::move(unheard.buffers));
+        newConnection.input.reset();
+        lingeringCloses_.add(std::move(newConnection.buffers));
     }
     std::erase_if(newConnections_, [](const auto& e) { return e.second.buffers == nullptr; });
 }
@@ -338,7 +343,7 @@
     for (const auto& [connection, client] : connections_) {
         bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
         evbuffer* output = bufferevent_get_output(buffers);
-        evbuffer_unfreeze(output, 1);  // libevent keeps the front to its own writes
+        evbuffer_unfreeze(output, 1);  // libevent allows only its own writes to remove
         while (evbuffer_get_length(output) > 0 && evbuffer_write(output, bufferevent_getfd(buffers)) > 0) {
         }
         evbuffer_freeze(output, 1);
@@ -348,43 +353,44 @@
 bool HttpFront::isDrained() const {
     return connections_.empty() && lingeringCloses_.allDelivered() &&
            std::all_of(newConnections_.begin(), newConnections_.end(),
-                       [](const auto& u) { return closedByEvhttp(u.first); });
+                       [](const auto& entry) { return closedByEvhttp(entry.first); });
 }
 
-void HttpFront::closeIdleConnections(std::size_t most, double idleMs) {
+void HttpFront::closeIdleConnections(std::size_t maxCount, double idleMs) {
     std::vector<std::pair<double, evhttp_connection*>> idle;
     for (const auto& [connection, client] : connections_) {
         if (client.lastUsedMs <= dispatcher_.nowMs() - idleMs && client.isIdle())
             idle.emplace_back(client.lastUsedMs, connection);
     }
     std::sort(idle.begin(), idle.end());
-    idle.resize(std::min(idle.size(), most));
-    for (const auto& [usedMs, connection] : idle) evhttp_connection_free(connection);
+    idle.resize(std::min(idle.size(), maxCount));
+    for (const auto& [lastUsedMs, connection] : idle) evhttp_connection_free(connection);
 }
 
-void HttpFront::closeSilentConnections(std::size_t most, double silentMs) {
-    const double before = dispatcher_.nowMs() - silentMs;
+void HttpFront::closeSilentConnections(std::size_t maxCount, double silentMs) {
+    const double silentSince = dispatcher_.nowMs() - silentMs;
     std::vector<std::pair<double, bufferevent*>> silent;
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
-    for (const auto& [buffers, unheard] : newConnections_) {
-        if (unheard.acceptedAtMs <= before && !unread(buffers))
-            silent.emplace_back(unheard.acceptedAtMs, buffers);
+    for (const auto& [buffers, newConnection] : newConnections_) {
+        if (newConnection.acceptedAtMs <= silentSince && !hasUnreadBytes(buffers))
+            silent.emplace_back(newConnection.acceptedAtMs, buffers);
     }
-    // One that goes on with pieces of a request for longer than evhttp's time-out between them is no better.
+    // This includes clients that send a request piece by piece: each piece restarts evhttp's own timeout.
     for (const auto& [connection, client] : connections_) {
         bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
-        if (!client.isBusy() && client.lastUsedMs <= before - limits_.clientIdleTimeoutMs && !unread(buffers))
+        if (!client.isBusy() && client.lastUsedMs <= silentSince - limits_.clientIdleTimeoutMs &&
+            !hasUnreadBytes(buffers))
             silent.emplace_back(client.lastUsedMs, buffers);
     }
     std::sort(silent.begin(), silent.end());
-    silent.resize(std::min(silent.size(), most));
+    silent.resize(std::min(silent.size(), maxCount));
     for (const auto& [sinceMs, buffers] : silent) timeOut(buffers);
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
     if (!silent.empty()) dispatcher_.counters().add("client_silent", silent.size());
 }
 
 bool HttpFront::atConnectionLimit() const {
-    const int fd = fcntl(STDERR_FILENO, F_DUPFD_CLOEXEC, 0);  // the lowest that is free
+    const int fd = fcntl(STDERR_FILENO, F_DUPFD_CLOEXEC, 0);  // the lowest free descriptor
     if (fd >= 0) ::close(fd);
     return fd < 0 || static_cast<std::size_t>(fd) + limits_.reservedDescriptors >= limits_.maxDescriptors ||
            connectionCount() + lingeringCloses_.size() >= limits_.maxClientConnections;
@@ -424,8 +430,8 @@
     connectionCheckTimer_.start(0);
 }
 
-// At the bound silent connections make room, then those idle longest, and new ones wait in the listener's
-// queue meanwhile; requests on those there are still come.
+// At the connection limit silent connections are closed first, then those idle longest. Meanwhile new
+// connections wait in the listener's queue, and requests on the open connections are still served.
 void HttpFront::checkConnections() {
     closeSilentConnections(newConnections_.size() + connections_.size(), limits_.firstRequestTimeoutMs);
     if (atConnectionLimit()) {
@@ -442,12 +448,12 @@
 bufferevent* HttpFront::onAccept(event_base* base, void* arg) {
     auto* self = static_cast<HttpFront*>(arg);
     self->dispatcher_.counters().add("client_connection");
-    BuffereventRef held = newBufferevent(base);
-    if (!held) return nullptr;
-    bufferevent* buffers = held.get();
-    self->newConnections_[buffers] = {std::move(held), self->dispatcher_.nowMs(),
+    BuffereventRef connection = newBufferevent(base);
+    if (!connection) return nullptr;
+    bufferevent* buffers = connection.get();
+    self->newConnections_[buffers] = {std::move(connection), self->dispatcher_.nowMs(),
                                       std::make_unique<InputTracker>(buffers)};
-    if (self->atConnectionLimit()) {  // before the next one in the queue is taken
+    if (self->atConnectionLimit()) {  // before the next connection is accepted
         self->setAccepting(false);
         self->connectionCheckTimer_.start(0);
     }
@@ -456,15 +462,16 @@
 
 void HttpFront::onConnectionClosed(evhttp_connection* connection, void* arg) {
     auto* self = static_cast<HttpFront*>(arg);
-    const auto at = self->connections_.find(connection);
-    if (at == self->connections_.end()) return;
-    HttpRequestHandler* job = at->second.handler;
-    evhttp_request* passing = at->second.stream ? at->second.stream->request() : nullptr;
-    if (at->second.lingerOnClose) self->lingeringCloses_.add(std::move(at->second.buffers));
-    self->connections_.erase(at);
-    // evhttp has let go of a request whose connection broke by itself.
-    if (passing != nullptr && evhttp_request_get_connection(passing) == nullptr) evhttp_request_free(passing);
-    if (job != nullptr) job->clientDisconnected();
+    const auto client = self->connections_.find(connection);
+    if (client == self->connections_.end()) return;
+    HttpRequestHandler* handler = client->second.handler;
+    evhttp_request* streamedRequest = client->second.stream ? client->second.stream->request() : nullptr;
+    if (client->second.lingerOnClose) self->lingeringCloses_.add(std::move(client->second.buffers));
+    self->connections_.erase(client);
+    // evhttp has detached a request whose connection broke by itself; it has to be freed here.
+    if (streamedRequest != nullptr && evhttp_request_get_connection(streamedRequest) == nullptr)
+        evhttp_request_free(streamedRequest);
+    if (handler != nullptr) handler->clientDisconnected();
 }
 
 void HttpFront::onRequest(evhttp_request* request, void* self) {
@@ -475,72 +482,73 @@
     evhttp_connection* connection = evhttp_request_get_connection(request);
     const char* uri = evhttp_request_get_uri(request);
     const std::string path = uri == nullptr ? "" : uri;
-    const auto [client, fresh] = connections_.try_emplace(connection);
+    const auto [client, isNew] = connections_.try_emplace(connection);
     client->second.lastUsedMs = dispatcher_.nowMs();
-    if (fresh) {
+    if (isNew) {
         evhttp_connection_set_closecb(connection, onConnectionClosed, this);
         bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
-        auto unheard =
-            newConnections_.extract(buffers);  // none if accepted() had no memory for buffers of its own
+        auto newConnection =
+            newConnections_.extract(buffers);  // empty if onAccept() could not allocate a bufferevent
         client->second.input =
-            unheard ? std::move(unheard.mapped().input) : std::make_unique<InputTracker>(buffers);
-        if (unheard) client->second.buffers = std::move(unheard.mapped().buffers);
+            newConnection ? std::move(newConnection.mapped().input) : std::make_unique<InputTracker>(buffers);
+        if (newConnection) client->second.buffers = std::move(newConnection.mapped().buffers);
         setTcpNoDelay(bufferevent_getfd(buffers));
     }
     client->second.lingerOnClose = false;
-    // What came behind it in the same bytes is the begin of the next one.
+    // Bytes behind this request are the beginning of the next one.
     const evbuffer* input = bufferevent_get_input(evhttp_connection_get_bufferevent(connection));
     client->second.input->requestStarted = evbuffer_get_length(input) > 0;
-    std::string wrong;
-    if (!validateFraming(request, wrong)) return rejectMalformed(request, wrong);
+    std::string error;
+    if (!validateFraming(request, error)) return rejectMalformed(request, error);
     if (path == "/healthz" && (evacuating() || (readinessCheck_ && !readinessCheck_())))
         return sendReply(request, 503, "Service Unavailable", evacuating() ? "evacuated\n" : "no nodes\n");
     if (path == "/healthz") return sendReply(request, 200, "OK", "ok\n");
     if (path == "/counters") return sendReply(request, 200, "OK", dispatcher_.counters().toText());
     if (const auto page = pages_.find(path); page != pages_.end())
         return sendReply(request, 200, "OK", page->second());
-    auto message = decodeRequest(request, settings_, dispatcher_.nowMs(), wrong);
-    if (!message) return rejectMalformed(request, wrong);
-    // The next request of one that sends several at once may come when it has gone.
-    if (!readEarly(evhttp_connection_get_bufferevent(connection), limits_.maxReadAheadBytes)) {
+    auto decoded = decodeRequest(request, settings_, dispatcher_.nowMs(), error);
+    if (!decoded) return rejectMalformed(request, error);
+    // A client that pipelines requests may have disconnected by the time its next one is taken.
+    if (!readAhead(evhttp_connection_get_bufferevent(connection), limits_.maxReadAheadBytes)) {
         dispatcher_.counters().add("client_gone_untaken");
         evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
         return sendReply(request, 503, "Service Unavailable");
     }
-    const Request decoded = message->request;
-    const auto job = std::make_shared<HttpRequestHandler>(*this, request, std::move(*message));
-    client->second.handler = job.get();
-    if (dispatcher_.submit(decoded, job)) return;
-    // Never in the dispatcher's hands: turned away without a trace.
+    const Request dispatched = decoded->request;
+    const auto handler = std::make_shared<HttpRequestHandler>(*this, request, std::move(*decoded));
+    client->second.handler = handler.get();
+    if (dispatcher_.submit(dispatched, handler)) return;
+    // The dispatcher has not accepted the request and keeps no state of it.
     dispatcher_.counters().add("request_not_taken");
-    job->sendAnswer({decoded.id, AnswerStatus::refused, limits_.overloadRetryAfterMs});
+    handler->sendAnswer({dispatched.id, AnswerStatus::refused, limits_.overloadRetryAfterMs});
 }
 
-// What follows on such a connection may be no request at all: it ends with the answer.
-void HttpFront::rejectMalformed(evhttp_request* request, const std::string& wrong) {
+// What follows a malformed request may not be a request at all, so the connection is closed after the answer.
+void HttpFront::rejectMalformed(evhttp_request* request, const std::string& error) {
     dispatcher_.counters().add("request_malformed");
-    log_.warn("client", "malformed request", {{"reason", wrong}});
+    log_.warn("client", "malformed request", {{"reason", error}});
     evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
     sendReply(request, 400, "Bad Request");
 }
 
 bool HttpFront::shouldCloseConnections() const {
-    // Near the bound a connection that rests is one that another client cannot have.
+    // Near the connection limit an idle connection takes the place of another client.
     return draining_ || listenerYielded_ || evacuating() ||
            connectionCount() > limits_.maxKeepAliveConnections;
 }
 
-// What has come behind the request would be lost with its connection: it has its answer first. Of a client
-// that goes on and on, the answer that ends its connection says that what follows was not taken.
+// Closing would lose pipelined requests that have arrived behind this one, so these are answered first, at
+// most `maxRequestsWhileClosing` of them. To a client that keeps sending, "Connection: close" says that what
+// follows was not processed.
 void HttpFront::decideConnectionClose(evhttp_request* request) {
     evhttp_connection* connection = evhttp_request_get_connection(request);
-    const auto at = connections_.find(connection);
-    if (at == connections_.end()) return;
-    Client& client = at->second;
+    const auto found = connections_.find(connection);
+    if (found == connections_.end()) return;
+    Client& client = found->second;
     if (shouldCloseConnections() && !endsWithAnswer(request)) {
-        const bool behind = hasInput(evhttp_connection_get_bufferevent(connection)) &&
-                            client.answersWhileClosing < limits_.maxRequestsWhileClosing;
-        if (behind)
+        const bool keepOpen = hasInput(evhttp_connection_get_bufferevent(connection)) &&
+                              client.answersWhileClosing < limits_.maxRequestsWhileClosing;
+        if (keepOpen)
             ++client.answersWhileClosing;
         else
             evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
@@ -554,13 +562,13 @@
     evhttp_send_reply(request, code, reason, nullptr);
 }
 
-// A client that has been told of more than comes, or of chunks without a last one, knows that it broke.
-void HttpFront::streamDone(evhttp_connection* connection, bool whole) {
+// The client detects a truncated answer by the missing bytes of Content-Length or by the missing last chunk.
+void HttpFront::streamDone(evhttp_connection* connection, bool complete) {
     const auto client = connections_.find(connection);
     if (client == connections_.end()) return;
     const std::unique_ptr<ResponseStream> stream = std::move(client->second.stream);
     client->second.lastUsedMs = dispatcher_.nowMs();
-    if (!whole) {
+    if (!complete) {
         dispatcher_.counters().add("answer_cut");
         return evhttp_connection_free(connection);
     }
--- a/src/http/response_stream.cpp
+++ b/src/http/response_stream.cpp
@@ -5,49 +5,51 @@
 namespace martencove {
 namespace {
 
-/// An answer's body on its way to the client, which its connection's buffer lets go of once it is written.
-struct Leaving {
+/// A response body in a client's output buffer, which frees it once it is written.
+struct AccountedBody {
     std::string body;
     Counters& counters;
 
-    Leaving(std::string b, Counters& c) : body(std::move(b)), counters(c) {
+    AccountedBody(std::string text, Counters& counterSet) : body(std::move(text)), counters(counterSet) {
         counters.answerBytes += body.size();
     }
-    ~Leaving() { counters.answerBytes -= body.size(); }
-    Leaving(const Leaving&) = delete;
-    Leaving& operator=(const Leaving&) = delete;
+    ~AccountedBody() { counters.answerBytes -= body.size(); }
+    AccountedBody(const AccountedBody&) = delete;
+    AccountedBody& operator=(const AccountedBody&) = delete;
 };
 
 }  // namespace
 
-void addAccountedBody(evbuffer* by, std::string body, Counters& counters) {
+void addAccountedBody(evbuffer* buffer, std::string body, Counters& counters) {
     if (body.empty()) return;
-    auto leaving = std::make_unique<Leaving>(std::move(body), counters);
-    const std::string& text = leaving->body;
+    auto accounted = std::make_unique<AccountedBody>(std::move(body), counters);
+    const std::string& text = accounted->body;
     if (evbuffer_add_reference(
-            by, text.data(), text.size(),
-            [](const void*, std::size_t, void* arg) { delete static_cast<Leaving*>(arg); },
-            leaving.get()) == 0)
-        (void)leaving.release();  // the buffer's now
+            buffer, text.data(), text.size(),
+            [](const void*, std::size_t, void* arg) { delete static_cast<AccountedBody*>(arg); },
+            accounted.get()) == 0)
+        (void)accounted.release();  // owned by the buffer now
 }
 
 bool ResponseStream::startAttempt(const Address& node, const NodeRequest& request,
-                                  const AttemptTimeouts& times) {
-    exchange_ = pool_.send(node, request, times, [this](NodeReply reply) { attemptEnded(std::move(reply)); });
-    return exchange_ != nullptr;
+                                  const AttemptTimeouts& timeouts) {
+    inFlightRequest_ =
+        pool_.send(node, request, timeouts, [this](NodeReply reply) { attemptEnded(std::move(reply)); });
+    return inFlightRequest_ != nullptr;
 }
 
-// evhttp closes a connection on which nothing has come for the time of an idle one, also while it writes.
+// evhttp applies its idle timeout for reading also while it writes a response, so there is no read timeout
+// while a response is streamed.
 void ResponseStream::setClientTimeouts(bool reading) {
     const timeval idle = toTimeval(limits_.clientIdleTimeoutMs),
-                  still = toTimeval(limits_.streamStallTimeoutMs);
+                  stall = toTimeval(limits_.streamStallTimeoutMs);
     bufferevent_set_timeouts(evhttp_connection_get_bufferevent(evhttp_request_get_connection(request_)),
-                             reading ? &idle : nullptr, reading ? &idle : &still);
+                             reading ? &idle : nullptr, reading ? &idle : &stall);
 }
 
-void ResponseStream::sendHeaders(evhttp_request* request, DoneCallback passed) {
+void ResponseStream::sendHeaders(evhttp_request* request, DoneCallback done) {
     request_ = request;
-    onDone_ = std::move(passed);
+    onDone_ = std::move(done);
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     if (!contentType_.empty()) evhttp_add_header(headers, "Content-Type", contentType_.c_str());
     if (length_) evhttp_add_header(headers, "Content-Length", std::to_string(*length_).c_str());
@@ -64,11 +66,11 @@
 bool ResponseStream::onHeaders(const std::string& contentType, std::optional<std::uint64_t> length) {
     contentType_ = contentType;
     length_ = length;
-    const auto passes = callbacks_.onStart;  // a copy: this may be freed meanwhile
-    return passes();
+    const auto onStart = callbacks_.onStart;  // a copy: the call may free this object
+    return onStart();
 }
 
-// No more is read than a client takes, but for a little that is before it.
+// Stops reading from the node while more than `maxStreamBufferBytes` wait to be written to the client.
 void ResponseStream::onBodyData(std::string bytes) {
     const LibeventPtr<evbuffer> buffer(evbuffer_new());
     if (!buffer) return;
@@ -78,22 +80,22 @@
     const evbuffer* output = bufferevent_get_output(evhttp_connection_get_bufferevent(connection));
     if (readingPaused_ || evbuffer_get_length(output) <= limits_.maxStreamBufferBytes) return;
     readingPaused_ = true;
-    exchange_->setReading(false);
+    inFlightRequest_->setReading(false);
 }
 
 void ResponseStream::onOutputDrained(evhttp_connection*, void* arg) {
     auto* self = static_cast<ResponseStream*>(arg);
-    if (std::exchange(self->readingPaused_, false)) self->exchange_->setReading(true);
+    if (std::exchange(self->readingPaused_, false)) self->inFlightRequest_->setReading(true);
 }
 
 void ResponseStream::attemptEnded(NodeReply reply) {
-    // The same here.
+    // Callbacks are copied, since the call may free this object.
     if (request_ == nullptr) {
-        const auto ended = callbacks_.onEnd;
-        return ended(std::move(reply));
+        const auto onEnd = callbacks_.onEnd;
+        return onEnd(std::move(reply));
     }
-    const auto passed = onDone_;
-    passed(evhttp_request_get_connection(request_), reply.status == AttemptStatus::served);
+    const auto onDone = onDone_;
+    onDone(evhttp_request_get_connection(request_), reply.status == AttemptStatus::served);
 }
 
 }  // namespace martencove
