--- a/src/files/file_io.cpp
+++ b/src/files/file_io.cpp
@@ -12,7 +12,7 @@
 namespace martencove::files {
 namespace {
 
-/// A descriptor with an owner.
+/// Owns a file descriptor and closes it.
 class Descriptor {
 public:
     explicit Descriptor(int fd) : fd_(fd) {}
@@ -51,7 +51,7 @@
     }
     struct stat info {};
     if (fstat(file.get(), &info) != 0) {
-        out.error = why("cannot be looked at");
+        out.error = why("cannot be inspected");
     } else if (!S_ISREG(info.st_mode)) {
         out.error = S_ISDIR(info.st_mode) ? "is a directory" : "is not a regular file";
     } else if (static_cast<std::size_t>(info.st_size) > most) {
@@ -59,7 +59,7 @@
             "has " + std::to_string(info.st_size) + " bytes, at most " + std::to_string(most) + " are read";
     }
     if (!out.error.empty()) return out;
-    // It may grow meanwhile: one byte over the size that it had shows that.
+    // Reads one byte more than the size that fstat() gave, to detect a file that grows meanwhile.
     out.bytes.resize(std::min(static_cast<std::size_t>(info.st_size), most) + 1);
     std::size_t got = 0;
     while (got < out.bytes.size()) {
@@ -87,7 +87,7 @@
         return error;
     }
     if (rename(beside.c_str(), path.c_str()) != 0) return why(("cannot replace " + path).c_str());
-    // The name itself is durable only with its folder.
+    // The rename is durable only once its folder is synced.
     const std::size_t slash = path.rfind('/');
     const std::string folder = slash == path.npos ? "." : path.substr(0, slash + 1);
     const Descriptor entry(open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
--- a/src/files/node_file.cpp
+++ b/src/files/node_file.cpp
@@ -40,7 +40,7 @@
     membership::Member out;
     out.name = node.name();
     out.address = node.dial();
-    // Not told, or past what a shard's number can be: the check of shards refuses both.
+    // A shard that is missing or above INT_MAX becomes -1, which the membership checks refuse.
     out.shard =
         node.has_shard() && node.shard() <= static_cast<std::uint32_t>(std::numeric_limits<int>::max())
             ? static_cast<int>(node.shard())
@@ -75,7 +75,8 @@
 std::string printed(const pb::Message& message) {
     std::string text;
     pb::TextFormat::Printer printer;
-    if (!printer.PrintToString(message, &text)) throw std::runtime_error("a message cannot be printed");
+    if (!printer.PrintToString(message, &text))
+        throw std::runtime_error("protobuf message cannot be printed in text format");
     return text;
 }
 
@@ -83,7 +84,7 @@
 
 FileTrailer parseTrailer(std::string_view bytes) {
     FileTrailer out;
-    // The last line that begins so. A seal further up, of an older and longer version, does not count.
+    // Only the last such line counts: an older, longer version may have left a trailer further up.
     constexpr std::string_view kEnd = "\nend {";
     const std::size_t at = bytes.rfind(kEnd);
     out.found = at != bytes.npos;
@@ -105,19 +106,19 @@
     out.digest = seal.digest;
     const std::string broken =
         !seal.found ? "no line that begins with \"end {\": half written, or not sealed"
-                    : "the sha256 in its last line is not that of what stands before it: half written, or "
-                      "edited without sealing it again";
+                    : "the sha256 in the last line does not match the content before it: half written, or "
+                      "edited without being sealed again";
     if (!seal.isValid && wholeOnly) {
         out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, broken, Severity::incomplete);
         return out;
     }
     if (bytes.size() > std::numeric_limits<int>::max() / 2) {
-        out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, "too long");
+        out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, "too long to be parsed");
         return out;
     }
     NodeFile message;
     pb::TextFormat::ParseInfoTree tree;
-    // What is sealed is as its writer meant it: an error in it does not heal by waiting.
+    // Under a valid trailer the content is complete, so waiting does not cure an error in it.
     const Severity severity = seal.isValid ? Severity::refused : Severity::incomplete;
     if (const auto error = parseTextFormat(bytes, message, &tree))
         out.problems.push_back(problemOf(*error, file, severity));
@@ -158,8 +159,8 @@
     if (const auto error = parseTextFormat(old, message))
         throw std::invalid_argument(problemOf(*error, file, Severity::refused).text());
     if (message.version() == 0)
-        throw std::invalid_argument(file + ": version: missing or 0, they count from 1");
-    // What a person wrote stays as it is, comments too; only a count that is wrong is put right.
+        throw std::invalid_argument(file + ": version: missing or 0; versions are numbered from 1");
+    // Keeps the text as it was written, comments included, and corrects only a wrong count.
     std::string body = old;
     if (message.count() != static_cast<std::uint64_t>(message.node_size())) {
         const std::string count = "count: " + std::to_string(message.node_size());
@@ -196,11 +197,11 @@
     membership::Membership out;
     KeptVersion message;
     if (!parseTrailer(bytes).isValid) {
-        problem = "not whole";
+        problem = "incomplete or altered: no trailer with the sha256 of the content";
     } else if (const auto error = parseTextFormat(bytes, message)) {
         problem = problemOf(*error, "", Severity::refused).text();
     } else if (message.version() == 0 || message.version() != message.end().version()) {
-        problem = "version: missing, or not the same at both ends";
+        problem = "version: missing or 0, or not the same in the trailer";
     } else {
         out.version = message.version();
         out.digest = message.digest();
--- a/src/files/node_file.h
+++ b/src/files/node_file.h
@@ -1,4 +1,5 @@
-// The form of a file of nodes (proto/nodes.proto): from its bytes to a Draft, and back.
+// Parses and writes node files (proto/nodes.proto) and the kept copy of the version in force. A node file
+// ends with a trailer: a line `end { ... }` that holds the sha256 of all bytes before it.
 #pragma once
 
 #include <cstddef>
@@ -10,34 +11,38 @@
 
 namespace martencove::files {
 
-/// Where the seal's line begins, and what it says.
+/// The position of a file's trailer and whether it matches the content.
 struct FileTrailer {
     std::size_t bodyBytes = 0;  ///< bytes before the line that begins with `end {`
     bool found = false;
-    bool isValid = false;  ///< its sha256 is that of the bytes before it
+    bool isValid = false;  ///< its sha256 matches the bytes before it
     std::string digest;    ///< sha256 of the bytes before it, in hex
 };
+/// Finds the trailer: the last line that begins with `end {`.
 [[nodiscard]] FileTrailer parseTrailer(std::string_view bytes);
 
-/// Reads one file's content. Every way in which it is not whole is a problem of severity incomplete, with the
-/// place where the parser stopped. `wholeOnly`: content whose seal is broken is not parsed, which is quick;
-/// the problem then has no place.
+/// Parses the content of one node file. Without a valid trailer every problem has severity `incomplete`,
+/// since the file may be in the middle of a write; a syntax error carries the line and column where the
+/// parser stopped. With `wholeOnly`, content without a valid trailer is not parsed at all, which is faster,
+/// and its problem has no line. A syntax error under a valid trailer has severity `refused`.
 [[nodiscard]] membership::ParsedNodeFile decodeNodeFile(const std::string& file, std::string_view bytes,
                                                         bool wholeOnly);
 
-/// All files of a version, `most` bytes together. One that cannot be read is a draft with that as its
-/// problem.
+/// Reads and parses all files of a version, at most `most` bytes in total. A file that cannot be read yields
+/// a result with that as its problem.
 [[nodiscard]] std::vector<membership::ParsedNodeFile> readNodeFiles(const std::vector<std::string>& files,
                                                                     std::size_t most, bool wholeOnly);
 
-/// A body (all fields but `end`) with the seal's line behind it.
+/// Returns `body` (all fields but `end`) followed by a trailer for it.
 [[nodiscard]] std::string withTrailer(const std::string& body, std::uint64_t version);
-/// The same for a file that has been edited by hand: its count is set, its end is made new. Throws
-/// std::invalid_argument, with the place, where the body cannot be read.
+/// Corrects `count` and replaces the trailer of a file that was edited by hand; everything else stays as it
+/// is, comments included. Throws std::invalid_argument, with line and column, if the body cannot be parsed.
 [[nodiscard]] std::string updateCountAndTrailer(const std::string& file, const std::string& bytes);
 
-/// A version in force as text, and back. `problem` is empty where the text was whole.
+/// Serializes the version in force, without its leaving nodes, as a KeptVersion in text format with a
+/// trailer.
 [[nodiscard]] std::string encodeKeptVersion(const membership::Membership& membership);
+/// Parses what encodeKeptVersion() returned. On an error sets `problem` and returns an empty membership.
 [[nodiscard]] membership::Membership decodeKeptVersion(std::string_view bytes, std::string& problem);
 
 }  // namespace martencove::files
--- a/src/files/node_file_monitor.cpp
+++ b/src/files/node_file_monitor.cpp
@@ -61,13 +61,13 @@
       membershipManager_(config_.rules),
       watcher_(config_.paths) {
     if (pipe2(stopPipe_, O_CLOEXEC | O_NONBLOCK) != 0)
-        throw std::runtime_error("no pipe for the reader of files");
+        throw std::runtime_error("cannot create the stop pipe of the node file monitor");
     restoreKeptVersion();
     readAndOffer(true);
 }
 
 NodeFileMonitor::~NodeFileMonitor() {
-    close(stopPipe_[1]);  // which the thread sees
+    close(stopPipe_[1]);  // makes the thread end
     if (thread_.joinable()) thread_.join();
     close(stopPipe_[0]);
 }
@@ -93,12 +93,13 @@
     publishUpdate();
 }
 
-// Events lead to a read at once where a writer closed or renamed, else when it rests for a moment. The slow
-// look finds what no event told. Content that is not whole is looked at again, and told of once it has stayed
-// so.
+// Reads the files at once after a file was closed or renamed and after a queue overflow. After other events,
+// reads them once no event has come for fileQuietMs, at the latest maxFileReadDelayMs after the first.
+// Polling finds changes that sent no event. Incomplete content is reported once it has stayed so for
+// incompleteFileTimeoutMs.
 void NodeFileMonitor::run() {
     double readAtMs = INFINITY;
-    double firstMs = INFINITY;  // of the events that wait for a rest
+    double firstMs = INFINITY;  // of the first event that has not led to a read yet
     double lookAtMs = clock_.nowMs() + config_.pollIntervalMs;
     for (;;) {
         const double now = clock_.nowMs();
@@ -132,13 +133,13 @@
             readAndOffer(settled);
         }
         if (membershipManager_.removeDeparted(after)) publishUpdate();
-        std::vector<MembershipUpdate> spent;  // freed here, without the lock
+        std::vector<MembershipUpdate> spent;  // destroyed after the lock is released
         const std::lock_guard lock(mutex_);
         spent.swap(retiredUpdates_);
     }
 }
 
-// `settled`: content that is not whole is told of, with the place where the parser stopped.
+// With `settled`, incomplete content is reported as well, with the line and column where the parser stopped.
 void NodeFileMonitor::readAndOffer(bool settled) {
     const std::vector<std::string> files = expandPaths(config_.paths);
     lastFingerprint_ = computeFingerprint(files);
@@ -165,7 +166,8 @@
         }
     }
     if (verdict.outcome == OfferOutcome::accepted) {
-        for (const std::string& text : verdict.notes) addLogMessage(false, "left over", {{"reason", text}});
+        for (const std::string& text : verdict.notes)
+            addLogMessage(false, "leftover part file ignored", {{"reason", text}});
         publishUpdate();
         saveKeptVersion();
     }
@@ -181,7 +183,8 @@
     lastLoggedRefusal_ = std::move(complaint);
 }
 
-// The changes are worked out here, against what the loop took last; should it take one meanwhile, once more.
+// Computes the changes on this thread, relative to the membership that the loop took last, and again if the
+// loop takes another one meanwhile.
 void NodeFileMonitor::publishUpdate() {
     const membership::MembershipPtr next = membershipManager_.current();
     for (;;) {
@@ -209,7 +212,7 @@
     const std::string error =
         writeFileAtomically(config_.keptVersionPath, encodeKeptVersion(*membershipManager_.current()));
     if (error.empty()) return;
-    addLogMessage(true, "in force but not kept",
+    addLogMessage(true, "version in force cannot be saved",
                   {{"version", membershipManager_.current()->version}, {"reason", error}});
     const std::lock_guard lock(mutex_);
     ++status_.keepFailureCount;
--- a/src/files/source.cpp
+++ b/src/files/source.cpp
@@ -12,7 +12,8 @@
 namespace martencove::files {
 namespace {
 
-// The same number for a name on every scheduler. 64 bits: at 100,000 nodes two names would share one of 32.
+// Gives a name the same id in every instance of the program. The id has 64 bits because among 100,000 names
+// two are likely to share a 32-bit hash.
 NodeId idOf(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
 
 NodeEntry entryOf(const membership::MemberChange& change) {
@@ -22,7 +23,7 @@
     out.name = m.name;
     out.address = m.address;
     out.shard = m.shard;
-    out.weight = m.weight > 0 ? m.weight : 1;  // of weight 0: told as draining
+    out.weight = m.weight > 0 ? m.weight : 1;  // weight 0 is expressed as draining below
     out.bootTimeMs = m.bootTimeMs;
     const bool nothing = change.targetState == membership::TargetState::draining || m.weight <= 0;
     out.state = change.targetState == membership::TargetState::gone ? NodeState::gone
@@ -34,12 +35,12 @@
 }  // namespace
 
 EventFd::EventFd() : fd_(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-    if (fd_ < 0) throw std::runtime_error("no event descriptor for the reader of files");
+    if (fd_ < 0) throw std::runtime_error("cannot create the eventfd of the node file monitor");
 }
 EventFd::~EventFd() { close(fd_); }
 void EventFd::notify() const {
     const std::uint64_t one = 1;
-    (void)!write(fd_, &one, sizeof one);  // full means that the loop is woken already
+    (void)!write(fd_, &one, sizeof one);  // fails only if the loop is already due to wake
 }
 void EventFd::clear() const {
     std::uint64_t count = 0;
@@ -91,7 +92,8 @@
     deliverSlice();
 }
 
-// A shard's changes go on in one turn, so that every decision sees a shard as one version has it.
+// Passes changes on in batches until the time slice is used up. All changes of a shard go into one batch, up
+// to twice the batch size, so that every decision sees a shard as one version defines it.
 void NodeFileSource::deliverSlice() {
     if (deliveredCount_ >= currentUpdate_.changes.size()) {
         auto handed = monitor_.takeUpdate(std::move(currentUpdate_));
@@ -122,7 +124,7 @@
                    {"nodes", currentUpdate_.membership->members.size()},
                    {"changed", currentUpdate_.changes.size()}});
     }
-    nextSliceTimer_.start(0);  // there may be a newer one
+    nextSliceTimer_.start(0);  // a newer update may be pending
 }
 
 void NodeFileSource::updateCounters() {
--- a/src/files/source.h
+++ b/src/files/source.h
@@ -1,6 +1,6 @@
-// Storage nodes from files that a deploy job writes. A thread of its own watches, reads and judges; the loop
-// only takes one immutable membership and what has changed, and tells it on in slices that keep it from
-// stalling.
+// Takes the storage nodes from files that a deploy job writes. A separate thread watches, reads and checks
+// the files. The event loop only takes over an immutable membership with its list of changes and passes the
+// changes on in time slices, so that a large change does not stall the loop.
 #pragma once
 
 #include <functional>
@@ -22,47 +22,50 @@
 
 namespace martencove::files {
 
+/// Settings of a node file source.
 struct NodeFileConfig {
     std::vector<std::string> paths;  ///< files, or folders of *.textproto files
-    std::string keptVersionPath;     ///< the last good version's file; empty: none
+    std::string keptVersionPath;     ///< file for the last accepted version; empty: none is kept
     membership::MembershipRules rules;
-    double pollIntervalMs = 1000;  ///< between looks where no event tells of a change
+    double pollIntervalMs = 1000;  ///< between checks for changes that sent no event
 };
 
-/// How things stand, for people. Handed from the thread to the loop whole.
+/// The state of the node files, for operators. The loop gets a copy of it from the thread.
 struct NodeFileStatus {
-    std::uint64_t version = 0;  ///< in force; 0: none yet
+    std::uint64_t version = 0;  ///< the version in force; 0: none yet
     double activatedAtMs = 0;   ///< Unix time at which it came into force
     std::size_t nodeCount = 0;
     std::size_t leavingCount = 0;
-    bool fromKeptCopy = false;  ///< it came from the last good version on disk, not from the files
-    std::vector<std::string>
-        refusalLines;  ///< of the newest content, where it is not in force; first line first
-    double refusedSinceMs = 0;
+    bool fromKeptCopy = false;  ///< the version in force came from the kept copy, not from the files
+    std::vector<std::string> refusalLines;  ///< why the newest content is not in force; empty if it is
+    double refusedSinceMs = 0;              ///< Unix time since which `refusalLines` have stayed the same
     std::uint64_t acceptedCount = 0, refusedCount = 0, incompleteCount = 0, readCount = 0,
                   keepFailureCount = 0, overflowCount = 0;
 
-    /// The same for the log.
+    /// Returns the status as fields of a log line.
     [[nodiscard]] LogFields logFields(double nowMs) const;
-    /// Lines of text, with ages as of `nowMs`.
+    /// Returns the status as lines of text, with ages as of `nowMs`.
     [[nodiscard]] std::string toText(double nowMs) const;
 };
 
-/// A line for the log, from the thread.
+/// A log message of the thread, which the loop writes to the log.
 struct DeferredLogMessage {
     bool isWarning = false;
     std::string message;
     LogFields fields;
 };
 
-/// The thread's half: no libevent in it.
+/// Watches, reads and checks the node files on its own thread. Independent of libevent. Thread-safe where the
+/// loop calls it: takeUpdate(), status() and takeLogMessages().
 class NodeFileMonitor {
 public:
+    /// A new version and how it differs from the one before.
     struct MembershipUpdate {
         membership::MembershipPtr membership;
-        std::vector<membership::MemberChange> changes;  ///< from the one handed over before
+        std::vector<membership::MemberChange> changes;  ///< relative to the update taken before
     };
-    /// Reads what is there now, and the kept version, before it returns. `wake` is called from the thread.
+    /// Reads the kept version and the files before it returns. `wake` is called, on the thread as well, when
+    /// there is an update or a log message to take.
     NodeFileMonitor(NodeFileConfig config, const Clock& clock, const Limits& limits,
                     std::function<void()> wake);
     ~NodeFileMonitor();
@@ -71,10 +74,11 @@
 
     /// Starts the thread.
     void start();
-    /// What is new since the last call; `spent` goes back to be freed off the loop.
+    /// Returns the newest update since the last call, if any. The thread frees `spent`, the update that the
+    /// caller has finished with: freeing 100,000 nodes would stall the loop.
     [[nodiscard]] std::optional<MembershipUpdate> takeUpdate(MembershipUpdate spent);
     [[nodiscard]] NodeFileStatus status() const;
-    /// Lines for the log since the last call, bounded.
+    /// Returns the log messages since the last call; beyond a limit, messages are dropped.
     [[nodiscard]] std::vector<DeferredLogMessage> takeLogMessages();
 
 private:
@@ -89,26 +93,26 @@
     const Clock& clock_;
     const Limits& limits_;
     std::function<void()> wakeLoop_;
-    int stopPipe_[2] = {-1, -1};  // a pipe: its end tells the thread to end
+    int stopPipe_[2] = {-1, -1};  // closing its write end stops the thread
 
-    // The thread's own, after the constructor.
+    // Used by the thread alone once the constructor has returned.
     membership::MembershipManager membershipManager_;
     FileWatcher watcher_;
-    std::string lastFingerprint_;    // fingerprint at the last read
-    std::string lastLoggedRefusal_;  // told last, so that a refusal is told once
-    double incompleteSinceMs_ = 0;   // when content that is not whole was first met; 0: none
+    std::string lastFingerprint_;    // of the files, at the last read
+    std::string lastLoggedRefusal_;  // so that the same refusal is logged once
+    double incompleteSinceMs_ = 0;   // when incomplete content was first read; 0: none
 
-    mutable std::mutex mutex_;  // guards what follows
+    mutable std::mutex mutex_;  // guards the members up to logMessages_
     NodeFileStatus status_;
     std::optional<MembershipUpdate> pendingUpdate_;
-    membership::MembershipPtr loopMembership_;  // by the loop
+    membership::MembershipPtr loopMembership_;  // which the loop took last
     std::vector<MembershipUpdate> retiredUpdates_;
     std::vector<DeferredLogMessage> logMessages_;
 
     std::thread thread_;
 };
 
-/// An eventfd by which the thread wakes the loop.
+/// An eventfd with which the thread wakes the loop.
 class EventFd {
 public:
     EventFd();
@@ -123,7 +127,7 @@
     int fd_;
 };
 
-/// The loop's half.
+/// Passes the storage nodes in the node files on to the program. Runs on the event loop and owns the monitor.
 class NodeFileSource {
 public:
     NodeFileSource(event_base* base, NodeFileConfig config, const Clock& clock, const Limits& limits,
@@ -131,17 +135,17 @@
     NodeFileSource(const NodeFileSource&) = delete;
     NodeFileSource& operator=(const NodeFileSource&) = delete;
 
-    /// What is in force at the start, for the program to begin with: a whole list.
+    /// Returns the nodes in force at the start as a complete list; its version is 0 if there are none yet.
     [[nodiscard]] NodeList takeInitialNodes();
-    /// From now on changes are told.
+    /// Starts the monitor's thread. From now on calls `told` with every batch of changes.
     void start(std::function<void(const NodeList&)> told);
 
     [[nodiscard]] std::string statusText() const;
     [[nodiscard]] LogFields statusFields() const { return monitor_.status().logFields(clock_.nowMs()); }
     [[nodiscard]] bool ready() const { return appliedVersion_ > 0; }
-    /// The version that has been told whole; 0: none yet.
+    /// The last version that was passed on completely; 0: none yet.
     [[nodiscard]] std::uint64_t appliedVersion() const { return appliedVersion_; }
-    /// The longest that telling has kept the loop at once, in ms.
+    /// The longest time slice so far, in ms.
     [[nodiscard]] double longestSliceMs() const { return longestSliceMs_; }
 
 private:
@@ -159,7 +163,7 @@
     LibeventPtr<event> wakeEvent_;
     Timer nextSliceTimer_;
     NodeFileMonitor::MembershipUpdate currentUpdate_;
-    std::size_t deliveredCount_ = 0;  // of its changes
+    std::size_t deliveredCount_ = 0;  // changes of currentUpdate_
     std::uint64_t appliedVersion_ = 0;
     NodeFileStatus countedStatus_;
     double longestSliceMs_ = 0;
--- a/src/files/text_format.cpp
+++ b/src/files/text_format.cpp
@@ -5,7 +5,8 @@
 namespace martencove::files {
 namespace {
 
-/// Keeps the first error: the others follow from it.
+/// Keeps only the first error, since later ones are often consequences of it. Converts the parser's line and
+/// column, which start at 0, to start at 1.
 class FirstError final : public google::protobuf::io::ErrorCollector {
 public:
     void AddError(int line, int column, const std::string& message) override {
--- a/src/files/text_format.h
+++ b/src/files/text_format.h
@@ -1,4 +1,4 @@
-// Protobuf text format with the place of the first error, for every file that is read in that form.
+// Parses protobuf text format and reports the position of the first error.
 #pragma once
 
 #include <google/protobuf/text_format.h>
@@ -9,15 +9,15 @@
 
 namespace martencove::files {
 
-/// Line and column count from 1; 0: not known.
+/// A syntax error. Line and column are numbered from 1; 0 means unknown.
 struct TextParseError {
     int line = 0;
     int column = 0;
     std::string reason;
 };
 
-/// Reads `bytes` into `message`; nothing where that went well. `places`, where it is wanted, gets where each
-/// field stands. `bytes` must be shorter than 2 GiB.
+/// Parses `bytes` into `message`. Returns the first error, or nothing on success. If `places` is given, it
+/// receives the position of every field. `bytes` must be shorter than 2 GiB.
 [[nodiscard]] std::optional<TextParseError> parseTextFormat(
     std::string_view bytes, google::protobuf::Message& message,
     google::protobuf::TextFormat::ParseInfoTree* places = nullptr);
--- a/src/files/watch.cpp
+++ b/src/files/watch.cpp
@@ -19,10 +19,11 @@
 
 constexpr std::uint32_t kEvents = IN_CLOSE_WRITE | IN_MODIFY | IN_ATTRIB | IN_CREATE | IN_DELETE |
                                   IN_MOVED_TO | IN_MOVED_FROM | IN_DELETE_SELF | IN_MOVE_SELF;
-constexpr int kMostLinks = 40;  // on the way to one file, as the system's own bound
+constexpr int kMostLinks = 40;  // on one path, the same as Linux's own limit
 
-/// The folders whose entries decide what `path` means: its own, that of each symbolic link on the way, and
-/// the deepest that exists where something is missing.
+/// Adds to `out` the folders whose entries decide which file `path` leads to: its own folder and that
+/// folder's parent, the folder of each symbolic link on the way, and the deepest existing folder if a part is
+/// missing.
 void foldersOf(const fs::path& path, std::set<std::string>& out) {
     std::error_code error;
     fs::path rest = fs::absolute(path, error).lexically_normal();
@@ -47,7 +48,7 @@
             }
             if (last || status.type() == fs::file_type::not_found) out.insert(walked);
             if (status.type() == fs::file_type::not_found) break;
-            // The folder itself may be moved away and made anew: its parent tells.
+            // The folder itself may be moved away and recreated, which only its parent reports.
             if (status.type() == fs::file_type::directory) {
                 if (last) out.insert(here);
                 const auto second = std::next(part);
@@ -114,7 +115,7 @@
     std::set<std::string> wanted;
     for (const std::string& path : paths_) foldersOf(path, wanted);
     std::map<std::string, int> now;
-    // For a folder that is watched already this gives the same descriptor; for one made anew another.
+    // Returns the existing descriptor for a folder that is already watched, a new one for a recreated folder.
     for (const std::string& folder : wanted) {
         const int watch = inotify_add_watch(fd_, folder.c_str(), kEvents | IN_ONLYDIR);
         if (watch >= 0) now[folder] = watch;
--- a/src/files/watch.h
+++ b/src/files/watch.h
@@ -1,6 +1,7 @@
-// Tells when files may have changed: inotify on every folder that leads to them, symbolic links followed.
-// Linux, inotify(7). What it can miss (an overflown queue, file systems that send nothing, a folder made anew
-// in the same moment) is the business of fingerprint(), which is looked at now and then.
+// Detects that files may have changed, with inotify(7) watches on every folder on the way to them; symbolic
+// links are followed. Linux only. Changes that inotify can miss (a queue overflow, file systems that send no
+// events, a folder that is deleted and recreated at once) are found by comparing computeFingerprint() from
+// time to time.
 #pragma once
 
 #include <map>
@@ -10,13 +11,15 @@
 
 namespace martencove::files {
 
-/// What a look from outside shows of the files that paths mean: equal texts, unchanged files, mostly.
+/// Summarizes stat() of each file: device, inode, size, mode, mtime and ctime. An equal result means, with
+/// high probability, unchanged files.
 [[nodiscard]] std::string computeFingerprint(const std::vector<std::string>& files);
 
-/// The files that paths mean now: a folder stands for its *.textproto files, by name. A path that is not
-/// there stands for itself.
+/// Replaces each folder by the *.textproto files in it, sorted by name and without hidden files. Any other
+/// path, also one that does not exist, is kept as it is.
 [[nodiscard]] std::vector<std::string> expandPaths(const std::vector<std::string>& paths);
 
+/// Watches files and folders of files for changes.
 class FileWatcher {
 public:
     explicit FileWatcher(std::vector<std::string> paths);
@@ -24,15 +27,17 @@
     FileWatcher(const FileWatcher&) = delete;
     FileWatcher& operator=(const FileWatcher&) = delete;
 
-    /// Readable when something happened. -1: the system gives no watches, only looks are left.
+    /// The inotify descriptor, readable when there are events. -1 if inotify is not available; then only
+    /// polling finds changes.
     [[nodiscard]] int fd() const { return fd_; }
 
+    /// What the events that were read have in common.
     struct EventSummary {
         bool anyEvent = false;
-        bool writeFinished = false;    ///< a writer closed or renamed a file: it is likely to be whole
-        bool queueOverflowed = false;  ///< the queue overflowed
+        bool writeFinished = false;  ///< a file was closed after writing or renamed, so it is likely complete
+        bool queueOverflowed = false;  ///< events were lost
     };
-    /// Takes what has happened, and follows folders that were made, moved or linked anew.
+    /// Reads all pending events without blocking and renews the watches if folders or links may have changed.
     EventSummary readEvents();
 
 private:
@@ -40,7 +45,7 @@
 
     std::vector<std::string> paths_;
     int fd_;
-    std::map<std::string, int> watchDescriptors_;  // watch descriptors
+    std::map<std::string, int> watchDescriptors_;  // by folder
 };
 
 }  // namespace martencove::files
