--- a/src/files/file_io.cpp
+++ b/src/files/file_io.cpp
@@ -13,85 +13,88 @@
 namespace {
 
 /// Owns a file descriptor and closes it.
-class Descriptor {
+class FileDescriptor {
 public:
-    explicit Descriptor(int fd) : fd_(fd) {}
-    ~Descriptor() { (void)shut(); }
-    Descriptor(const Descriptor&) = delete;
-    Descriptor& operator=(const Descriptor&) = delete;
+    explicit FileDescriptor(int fd) : fd_(fd) {}
+    ~FileDescriptor() { (void)closeNow(); }
+    FileDescriptor(const FileDescriptor&) = delete;
+    FileDescriptor& operator=(const FileDescriptor&) = delete;
     [[nodiscard]] int get() const { return fd_; }
-    [[nodiscard]] bool shut() { return fd_ < 0 || close(std::exchange(fd_, -1)) == 0; }
+    [[nodiscard]] bool closeNow() { return fd_ < 0 || close(std::exchange(fd_, -1)) == 0; }
 
 private:
     int fd_;
 };
 
-std::string why(const char* what) { return std::string(what) + ": " + std::strerror(errno); }
+std::string withErrno(const char* what) { return std::string(what) + ": " + std::strerror(errno); }
 
 bool writeAll(int fd, const std::string& bytes) {
-    std::size_t done = 0;
-    while (done < bytes.size()) {
-        const ssize_t n = write(fd, bytes.data() + done, bytes.size() - done);
-        if (n < 0 && errno == EINTR) continue;
-        if (n <= 0) return false;
-        done += static_cast<std::size_t>(n);
+    std::size_t written = 0;
+    while (written < bytes.size()) {
+        const ssize_t result = write(fd, bytes.data() + written, bytes.size() - written);
+        if (result < 0 && errno == EINTR) continue;
+        if (result <= 0) return false;
+        written += static_cast<std::size_t>(result);
     }
     return true;
 }
 
 }  // namespace
 
-FileContent readRegularFile(const std::string& path, std::size_t most) {
-    FileContent out;
-    const Descriptor file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK | O_NOCTTY));
+FileContent readRegularFile(const std::string& path, std::size_t maxBytes) {
+    FileContent content;
+    const FileDescriptor file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK | O_NOCTTY));
     if (file.get() < 0) {
-        out.missing = errno == ENOENT || errno == ENOTDIR;
-        out.error = why("cannot be opened");
-        return out;
+        content.missing = errno == ENOENT || errno == ENOTDIR;
+        content.error = withErrno("cannot be opened");
+        return content;
     }
     struct stat info {};
     if (fstat(file.get(), &info) != 0) {
-        out.error = why("cannot be inspected");
+        content.error = withErrno("cannot be inspected");
     } else if (!S_ISREG(info.st_mode)) {
-        out.error = S_ISDIR(info.st_mode) ? "is a directory" : "is not a regular file";
-    } else if (static_cast<std::size_t>(info.st_size) > most) {
-        out.error =
-            "has " + std::to_string(info.st_size) + " bytes, at most " + std::to_string(most) + " are read";
+        content.error = S_ISDIR(info.st_mode) ? "is a directory" : "is not a regular file";
+    } else if (static_cast<std::size_t>(info.st_size) > maxBytes) {
+        content.error = "has " + std::to_string(info.st_size) + " bytes, at most " +
+                        std::to_string(maxBytes) + " are read";
     }
-    if (!out.error.empty()) return out;
+    if (!content.error.empty()) return content;
     // Reads one byte more than the size that fstat() gave, to detect a file that grows meanwhile.
-    out.bytes.resize(std::min(static_cast<std::size_t>(info.st_size), most) + 1);
-    std::size_t got = 0;
-    while (got < out.bytes.size()) {
-        const ssize_t n = read(file.get(), out.bytes.data() + got, out.bytes.size() - got);
-        if (n < 0 && errno == EINTR) continue;
-        if (n < 0) {
-            out.error = why("cannot be read");
-            out.bytes.clear();
-            return out;
+    content.bytes.resize(std::min(static_cast<std::size_t>(info.st_size), maxBytes) + 1);
+    std::size_t bytesRead = 0;
+    while (bytesRead < content.bytes.size()) {
+        const ssize_t result =
+            read(file.get(), content.bytes.data() + bytesRead, content.bytes.size() - bytesRead);
+        if (result < 0 && errno == EINTR) continue;
+        if (result < 0) {
+            content.error = withErrno("cannot be read");
+            content.bytes.clear();
+            return content;
         }
-        if (n == 0) break;
-        got += static_cast<std::size_t>(n);
+        if (result == 0) break;
+        bytesRead += static_cast<std::size_t>(result);
     }
-    out.bytes.resize(got);
-    return out;
+    content.bytes.resize(bytesRead);
+    return content;
 }
 
 std::string writeFileAtomically(const std::string& path, const std::string& bytes) {
-    const std::string beside = path + ".new";
-    Descriptor file(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
-    if (file.get() < 0) return why(("cannot create " + beside).c_str());
-    if (!writeAll(file.get(), bytes) || fsync(file.get()) != 0 || !file.shut()) {
-        const std::string error = why(("cannot write " + beside).c_str());
-        unlink(beside.c_str());
+    const std::string temporaryPath = path + ".new";
+    FileDescriptor file(open(temporaryPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
+    if (file.get() < 0) return withErrno(("cannot create " + temporaryPath).c_str());
+    if (!writeAll(file.get(), bytes) || fsync(file.get()) != 0 || !file.closeNow()) {
+        const std::string error = withErrno(("cannot write " + temporaryPath).c_str());
+        unlink(temporaryPath.c_str());
         return error;
     }
-    if (rename(beside.c_str(), path.c_str()) != 0) return why(("cannot replace " + path).c_str());
+    if (rename(temporaryPath.c_str(), path.c_str()) != 0)
+        return withErrno(("cannot replace " + path).c_str());
     // The rename is durable only once its folder is synced.
     const std::size_t slash = path.rfind('/');
     const std::string folder = slash == path.npos ? "." : path.substr(0, slash + 1);
-    const Descriptor entry(open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    if (entry.get() < 0 || fsync(entry.get()) != 0) return why(("cannot sync " + folder).c_str());
+    const FileDescriptor folderDescriptor(open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    if (folderDescriptor.get() < 0 || fsync(folderDescriptor.get()) != 0)
+        return withErrno(("cannot sync " + folder).c_str());
     return "";
 }
 
--- a/src/files/file_io.h
+++ b/src/files/file_io.h
@@ -14,10 +14,10 @@
     bool missing = false;  ///< the file does not exist
 };
 
-/// Reads the regular file at `path` if it has at most `most` bytes. Reports every problem with the file in
-/// `error` and throws nothing for it. A file that is read while it is being written may come out as any
+/// Reads the regular file at `path` if it has at most `maxBytes` bytes. Reports every problem with the file
+/// in `error` and throws nothing for it. A file that is read while it is being written may come out as any
 /// mixture of old and new content; the trailer of a node file (see node_file.h) detects that.
-[[nodiscard]] FileContent readRegularFile(const std::string& path, std::size_t most);
+[[nodiscard]] FileContent readRegularFile(const std::string& path, std::size_t maxBytes);
 
 /// Writes `bytes` to `path`.new, syncs it and renames it over `path`, so that a reader, or a start after a
 /// crash, finds either the old content or the new. Returns an error text, or an empty string on success.
--- a/src/files/node_file.cpp
+++ b/src/files/node_file.cpp
@@ -21,58 +21,63 @@
 
 std::string sha256(std::string_view bytes) {
     std::array<unsigned char, EVP_MAX_MD_SIZE> hash{};
-    unsigned size = 0;
-    if (EVP_Digest(bytes.data(), bytes.size(), hash.data(), &size, EVP_sha256(), nullptr) != 1)
+    unsigned hashBytes = 0;
+    if (EVP_Digest(bytes.data(), bytes.size(), hash.data(), &hashBytes, EVP_sha256(), nullptr) != 1)
         throw std::runtime_error("sha256 is not available");
-    std::string out;
-    for (unsigned i = 0; i < size; ++i) {
-        out += "0123456789abcdef"[hash[i] >> 4];
-        out += "0123456789abcdef"[hash[i] & 15];
+    std::string hex;
+    for (unsigned i = 0; i < hashBytes; ++i) {
+        hex += "0123456789abcdef"[hash[i] >> 4];
+        hex += "0123456789abcdef"[hash[i] & 15];
     }
-    return out;
+    return hex;
 }
 
-membership::Problem problemOf(const TextParseError& error, const std::string& file, Severity severity) {
+membership::Problem makeProblem(const TextParseError& error, const std::string& file, Severity severity) {
     return {{file, error.line, error.column}, error.reason, severity};
 }
 
-membership::Member memberOf(const Node& node) {
-    membership::Member out;
-    out.name = node.name();
-    out.address = node.dial();
+membership::Member toMember(const Node& node) {
+    membership::Member member;
+    member.name = node.name();
+    member.address = node.dial();
     // A shard that is missing or above INT_MAX becomes -1, which the membership checks refuse.
-    out.shard =
+    member.shard =
         node.has_shard() && node.shard() <= static_cast<std::uint32_t>(std::numeric_limits<int>::max())
             ? static_cast<int>(node.shard())
             : -1;
-    out.weight = node.has_weight() ? node.weight() : 1;
-    out.rack = node.rack();
-    out.state = node.state() == DRAINING ? membership::MemberState::draining : membership::MemberState::ready;
-    out.bootTimeMs = static_cast<double>(node.born_ms());
-    return out;
+    member.weight = node.has_weight() ? node.weight() : 1;
+    member.rack = node.rack();
+    member.state =
+        node.state() == DRAINING ? membership::MemberState::draining : membership::MemberState::ready;
+    member.bootTimeMs = static_cast<double>(node.born_ms());
+    return member;
 }
 
-void fill(const NodeFile& in, const pb::TextFormat::ParseInfoTree& tree, ParsedNodeFile& out) {
-    out.version = in.version();
-    out.trailerVersion = in.end().version();
-    out.declaredCount = in.count();
-    out.partName = in.part();
-    out.partNames = {in.parts().begin(), in.parts().end()};
-    for (const Permit& permit : in.permit()) {
-        membership::RemovalPermit p{
+void convertNodeFile(const NodeFile& message, const pb::TextFormat::ParseInfoTree& positions,
+                     ParsedNodeFile& parsed) {
+    parsed.version = message.version();
+    parsed.trailerVersion = message.end().version();
+    parsed.declaredCount = message.count();
+    parsed.partName = message.part();
+    parsed.partNames = {message.parts().begin(), message.parts().end()};
+    for (const Permit& permit : message.permit()) {
+        membership::RemovalPermit removalPermit{
             permit.from_version(), {permit.rack().begin(), permit.rack().end()}, {}, permit.fleet_part()};
-        for (const std::uint32_t shard : permit.shard()) p.shards.push_back(static_cast<int>(shard));
-        out.permits.push_back(std::move(p));
+        for (const std::uint32_t shard : permit.shard())
+            removalPermit.shards.push_back(static_cast<int>(shard));
+        parsed.permits.push_back(std::move(removalPermit));
     }
-    const pb::FieldDescriptor* field = in.GetDescriptor()->FindFieldByNumber(NodeFile::kNodeFieldNumber);
-    out.members.reserve(static_cast<std::size_t>(in.node_size()));
-    for (int i = 0; i < in.node_size(); ++i) {
-        const auto at = tree.GetLocation(field, i);
-        out.members.push_back({memberOf(in.node(i)), in.node(i).has_born_ms(), at.line + 1, at.column + 1});
+    const pb::FieldDescriptor* nodeField =
+        message.GetDescriptor()->FindFieldByNumber(NodeFile::kNodeFieldNumber);
+    parsed.members.reserve(static_cast<std::size_t>(message.node_size()));
+    for (int i = 0; i < message.node_size(); ++i) {
+        const auto position = positions.GetLocation(nodeField, i);
+        parsed.members.push_back({toMember(message.node(i)), message.node(i).has_born_ms(), position.line + 1,
+                                  position.column + 1});
     }
 }
 
-std::string printed(const pb::Message& message) {
+std::string printTextFormat(const pb::Message& message) {
     std::string text;
     pb::TextFormat::Printer printer;
     if (!printer.PrintToString(message, &text))
@@ -83,131 +88,136 @@
 }  // namespace
 
 FileTrailer parseTrailer(std::string_view bytes) {
-    FileTrailer out;
+    FileTrailer trailer;
     // Only the last such line counts: an older, longer version may have left a trailer further up.
-    constexpr std::string_view kEnd = "\nend {";
-    const std::size_t at = bytes.rfind(kEnd);
-    out.found = at != bytes.npos;
-    out.bodyBytes = out.found ? at + 1 : bytes.size();
-    out.digest = sha256(bytes.substr(0, out.bodyBytes));
-    if (!out.found) return out;
-    const std::string_view line = bytes.substr(out.bodyBytes);
-    const std::size_t close = line.find('}');
-    if (close == line.npos || line.find_first_not_of(" \t\r\n", close + 1) != line.npos) return out;
-    const std::size_t hash = line.find("sha256: \"" + out.digest + '"');
-    out.isValid = hash != line.npos && hash < close;
-    return out;
+    constexpr std::string_view kTrailerStart = "\nend {";
+    const std::size_t start = bytes.rfind(kTrailerStart);
+    trailer.found = start != bytes.npos;
+    trailer.bodyBytes = trailer.found ? start + 1 : bytes.size();
+    trailer.digest = sha256(bytes.substr(0, trailer.bodyBytes));
+    if (!trailer.found) return trailer;
+    const std::string_view trailerText = bytes.substr(trailer.bodyBytes);
+    const std::size_t closingBrace = trailerText.find('}');
+    if (closingBrace == trailerText.npos ||
+        trailerText.find_first_not_of(" \t\r\n", closingBrace + 1) != trailerText.npos)
+        return trailer;
+    const std::size_t digestField = trailerText.find("sha256: \"" + trailer.digest + '"');
+    trailer.isValid = digestField != trailerText.npos && digestField < closingBrace;
+    return trailer;
 }
 
-ParsedNodeFile decodeNodeFile(const std::string& file, std::string_view bytes, bool wholeOnly) {
-    ParsedNodeFile out;
-    out.file = file;
-    const FileTrailer seal = parseTrailer(bytes);
-    out.digest = seal.digest;
-    const std::string broken =
-        !seal.found ? "no line that begins with \"end {\": half written, or not sealed"
-                    : "the sha256 in the last line does not match the content before it: half written, or "
-                      "edited without being sealed again";
-    if (!seal.isValid && wholeOnly) {
-        out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, broken, Severity::incomplete);
-        return out;
+ParsedNodeFile decodeNodeFile(const std::string& file, std::string_view bytes, bool skipWithoutTrailer) {
+    ParsedNodeFile parsed;
+    parsed.file = file;
+    const FileTrailer trailer = parseTrailer(bytes);
+    parsed.digest = trailer.digest;
+    const std::string trailerProblem =
+        !trailer.found ? "no line that begins with \"end {\": half written, or not sealed"
+                       : "the sha256 in the last line does not match the content before it: half written, or "
+                         "edited without being sealed again";
+    if (!trailer.isValid && skipWithoutTrailer) {
+        parsed.problems.emplace_back(membership::SourceLocation{file, 0, 0}, trailerProblem,
+                                     Severity::incomplete);
+        return parsed;
     }
     if (bytes.size() > std::numeric_limits<int>::max() / 2) {
-        out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, "too long to be parsed");
-        return out;
+        parsed.problems.emplace_back(membership::SourceLocation{file, 0, 0}, "too long to be parsed");
+        return parsed;
     }
     NodeFile message;
-    pb::TextFormat::ParseInfoTree tree;
+    pb::TextFormat::ParseInfoTree positions;
     // Under a valid trailer the content is complete, so waiting does not cure an error in it.
-    const Severity severity = seal.isValid ? Severity::refused : Severity::incomplete;
-    if (const auto error = parseTextFormat(bytes, message, &tree))
-        out.problems.push_back(problemOf(*error, file, severity));
+    const Severity severity = trailer.isValid ? Severity::refused : Severity::incomplete;
+    if (const auto error = parseTextFormat(bytes, message, &positions))
+        parsed.problems.push_back(makeProblem(*error, file, severity));
     else
-        fill(message, tree, out);
-    if (!seal.isValid)
-        out.problems.emplace_back(membership::SourceLocation{file, 0, 0}, broken, Severity::incomplete);
-    return out;
+        convertNodeFile(message, positions, parsed);
+    if (!trailer.isValid)
+        parsed.problems.emplace_back(membership::SourceLocation{file, 0, 0}, trailerProblem,
+                                     Severity::incomplete);
+    return parsed;
 }
 
-std::vector<ParsedNodeFile> readNodeFiles(const std::vector<std::string>& files, std::size_t most,
-                                          bool wholeOnly) {
-    std::vector<ParsedNodeFile> out;
+std::vector<ParsedNodeFile> readNodeFiles(const std::vector<std::string>& files, std::size_t maxTotalBytes,
+                                          bool skipWithoutTrailer) {
+    std::vector<ParsedNodeFile> parsedFiles;
     for (const std::string& file : files) {
-        const FileContent content = readRegularFile(file, most);
-        most -= std::min(content.bytes.size(), most);
+        const FileContent content = readRegularFile(file, maxTotalBytes);
+        maxTotalBytes -= std::min(content.bytes.size(), maxTotalBytes);
         if (content.error.empty()) {
-            out.push_back(decodeNodeFile(file, content.bytes, wholeOnly));
+            parsedFiles.push_back(decodeNodeFile(file, content.bytes, skipWithoutTrailer));
             continue;
         }
-        ParsedNodeFile unread;
-        unread.file = file;
-        unread.problems.emplace_back(membership::SourceLocation{file, 0, 0}, content.error,
-                                     content.missing ? Severity::incomplete : Severity::refused);
-        out.push_back(std::move(unread));
+        ParsedNodeFile unreadable;
+        unreadable.file = file;
+        unreadable.problems.emplace_back(membership::SourceLocation{file, 0, 0}, content.error,
+                                         content.missing ? Severity::incomplete : Severity::refused);
+        parsedFiles.push_back(std::move(unreadable));
     }
-    return out;
+    return parsedFiles;
 }
 
 std::string withTrailer(const std::string& body, std::uint64_t version) {
-    const std::string whole = body.empty() || body.back() == '\n' ? body : body + '\n';
-    return whole + "end { version: " + std::to_string(version) + " sha256: \"" + sha256(whole) + "\" }\n";
+    const std::string terminatedBody = body.empty() || body.back() == '\n' ? body : body + '\n';
+    return terminatedBody + "end { version: " + std::to_string(version) + " sha256: \"" +
+           sha256(terminatedBody) + "\" }\n";
 }
 
 std::string updateCountAndTrailer(const std::string& file, const std::string& bytes) {
     NodeFile message;
-    const std::string old = bytes.substr(0, parseTrailer(bytes).bodyBytes);
-    if (const auto error = parseTextFormat(old, message))
-        throw std::invalid_argument(problemOf(*error, file, Severity::refused).text());
+    const std::string oldBody = bytes.substr(0, parseTrailer(bytes).bodyBytes);
+    if (const auto error = parseTextFormat(oldBody, message))
+        throw std::invalid_argument(makeProblem(*error, file, Severity::refused).text());
     if (message.version() == 0)
         throw std::invalid_argument(file + ": version: missing or 0; versions are numbered from 1");
     // Keeps the text as it was written, comments included, and corrects only a wrong count.
-    std::string body = old;
+    std::string body = oldBody;
     if (message.count() != static_cast<std::uint64_t>(message.node_size())) {
         const std::string count = "count: " + std::to_string(message.node_size());
-        const std::size_t at = body.starts_with("count:") ? 0 : body.find("\ncount:");
-        if (at == body.npos) {
+        const std::size_t lineStart = body.starts_with("count:") ? 0 : body.find("\ncount:");
+        if (lineStart == body.npos) {
             body = count + '\n' + body;
         } else {
-            const std::size_t from = at == 0 && body.starts_with("count:") ? 0 : at + 1;
-            body.replace(from, body.find_first_of("\n#", from) - from, count);
+            const std::size_t countStart = lineStart == 0 && body.starts_with("count:") ? 0 : lineStart + 1;
+            body.replace(countStart, body.find_first_of("\n#", countStart) - countStart, count);
         }
     }
     return withTrailer(body, message.version());
 }
 
 std::string encodeKeptVersion(const membership::Membership& membership) {
-    KeptVersion out;
-    out.set_version(membership.version);
-    out.set_digest(membership.digest);
-    for (const membership::Member& m : membership.members) {
-        if (m.leaving) continue;
-        Node& node = *out.add_node();
-        node.set_name(m.name);
-        node.set_dial(m.address);
-        node.set_shard(static_cast<std::uint32_t>(m.shard));
-        node.set_weight(m.weight);
-        if (!m.rack.empty()) node.set_rack(m.rack);
-        if (m.state == membership::MemberState::draining) node.set_state(DRAINING);
-        node.set_born_ms(std::llround(m.bootTimeMs));
+    KeptVersion kept;
+    kept.set_version(membership.version);
+    kept.set_digest(membership.digest);
+    for (const membership::Member& member : membership.members) {
+        if (member.leaving) continue;
+        Node& node = *kept.add_node();
+        node.set_name(member.name);
+        node.set_dial(member.address);
+        node.set_shard(static_cast<std::uint32_t>(member.shard));
+        node.set_weight(member.weight);
+        if (!member.rack.empty()) node.set_rack(member.rack);
+        if (member.state == membership::MemberState::draining) node.set_state(DRAINING);
+        node.set_born_ms(std::llround(member.bootTimeMs));
     }
-    return withTrailer(printed(out), membership.version);
+    return withTrailer(printTextFormat(kept), membership.version);
 }
 
 membership::Membership decodeKeptVersion(std::string_view bytes, std::string& problem) {
-    membership::Membership out;
-    KeptVersion message;
+    membership::Membership membership;
+    KeptVersion kept;
     if (!parseTrailer(bytes).isValid) {
         problem = "incomplete or altered: no trailer with the sha256 of the content";
-    } else if (const auto error = parseTextFormat(bytes, message)) {
-        problem = problemOf(*error, "", Severity::refused).text();
-    } else if (message.version() == 0 || message.version() != message.end().version()) {
+    } else if (const auto error = parseTextFormat(bytes, kept)) {
+        problem = makeProblem(*error, "", Severity::refused).text();
+    } else if (kept.version() == 0 || kept.version() != kept.end().version()) {
         problem = "version: missing or 0, or not the same in the trailer";
     } else {
-        out.version = message.version();
-        out.digest = message.digest();
-        for (const Node& node : message.node()) out.members.push_back(memberOf(node));
+        membership.version = kept.version();
+        membership.digest = kept.digest();
+        for (const Node& node : kept.node()) membership.members.push_back(toMember(node));
     }
-    return out;
+    return membership;
 }
 
 }  // namespace martencove::files
--- a/src/files/node_file.h
+++ b/src/files/node_file.h
@@ -23,15 +23,16 @@
 
 /// Parses the content of one node file. Without a valid trailer every problem has severity `incomplete`,
 /// since the file may be in the middle of a write; a syntax error carries the line and column where the
-/// parser stopped. With `wholeOnly`, content without a valid trailer is not parsed at all, which is faster,
-/// and its problem has no line. A syntax error under a valid trailer has severity `refused`.
+/// parser stopped. With `skipWithoutTrailer`, content without a valid trailer is not parsed at all, which is
+/// faster, and its problem has no line. A syntax error under a valid trailer has severity `refused`.
 [[nodiscard]] membership::ParsedNodeFile decodeNodeFile(const std::string& file, std::string_view bytes,
-                                                        bool wholeOnly);
+                                                        bool skipWithoutTrailer);
 
-/// Reads and parses all files of a version, at most `most` bytes in total. A file that cannot be read yields
-/// a result with that as its problem.
+/// Reads and parses all files of a version, at most `maxTotalBytes` bytes in total. A file that cannot be
+/// read yields a result with that as its problem.
 [[nodiscard]] std::vector<membership::ParsedNodeFile> readNodeFiles(const std::vector<std::string>& files,
-                                                                    std::size_t most, bool wholeOnly);
+                                                                    std::size_t maxTotalBytes,
+                                                                    bool skipWithoutTrailer);
 
 /// Returns `body` (all fields but `end`) followed by a trailer for it.
 [[nodiscard]] std::string withTrailer(const std::string& body, std::uint64_t version);
--- a/src/files/node_file_monitor.cpp
+++ b/src/files/node_file_monitor.cpp
@@ -17,7 +17,7 @@
 
 using membership::OfferOutcome;
 
-std::string age(double ms) {
+std::string formatSeconds(double ms) {
     char text[32];
     std::snprintf(text, sizeof text, "%.1f s", std::max(ms, 0.0) / 1000);
     return text;
@@ -26,38 +26,38 @@
 }  // namespace
 
 std::string NodeFileStatus::toText(double nowMs) const {
-    std::string out;
+    std::string text;
     if (version == 0)
-        out = "no version in force\n";
+        text = "no version in force\n";
     else
-        out = "version " + std::to_string(version) + " in force for " + age(nowMs - activatedAtMs) +
-              (fromKeptCopy ? ", from the kept copy" : "") + ": " + std::to_string(nodeCount) + " nodes, " +
-              std::to_string(leavingCount) + " leaving\n";
+        text = "version " + std::to_string(version) + " in force for " +
+               formatSeconds(nowMs - activatedAtMs) + (fromKeptCopy ? ", from the kept copy" : "") + ": " +
+               std::to_string(nodeCount) + " nodes, " + std::to_string(leavingCount) + " leaving\n";
     if (!refusalLines.empty()) {
-        out += "newest content not taken for " + age(nowMs - refusedSinceMs) + ":\n";
-        for (const std::string& line : refusalLines) out += "  " + line + '\n';
+        text += "newest content not taken for " + formatSeconds(nowMs - refusedSinceMs) + ":\n";
+        for (const std::string& line : refusalLines) text += "  " + line + '\n';
     }
-    return out;
+    return text;
 }
 
 LogFields NodeFileStatus::logFields(double nowMs) const {
-    LogFields out{{"version", version},
-                  {"age_s", std::llround((nowMs - activatedAtMs) / 1000)},
-                  {"nodes", nodeCount},
-                  {"leaving", leavingCount},
-                  {"kept_copy", fromKeptCopy ? 1 : 0}};
-    if (refusalLines.empty()) return out;
-    out.emplace_back("refused_for_s", std::llround((nowMs - refusedSinceMs) / 1000));
-    out.emplace_back("refusal", refusalLines.front());
-    return out;
+    LogFields fields{{"version", version},
+                     {"age_s", std::llround((nowMs - activatedAtMs) / 1000)},
+                     {"nodes", nodeCount},
+                     {"leaving", leavingCount},
+                     {"kept_copy", fromKeptCopy ? 1 : 0}};
+    if (refusalLines.empty()) return fields;
+    fields.emplace_back("refused_for_s", std::llround((nowMs - refusedSinceMs) / 1000));
+    fields.emplace_back("refusal", refusalLines.front());
+    return fields;
 }
 
 NodeFileMonitor::NodeFileMonitor(NodeFileConfig config, const Clock& clock, const Limits& limits,
-                                 std::function<void()> wake)
+                                 std::function<void()> wakeLoop)
     : config_(std::move(config)),
       clock_(clock),
       limits_(limits),
-      wakeLoop_(std::move(wake)),
+      wakeLoop_(std::move(wakeLoop)),
       membershipManager_(config_.rules),
       watcher_(config_.paths) {
     if (pipe2(stopPipe_, O_CLOEXEC | O_NONBLOCK) != 0)
@@ -99,43 +99,44 @@
 // incompleteFileTimeoutMs.
 void NodeFileMonitor::run() {
     double readAtMs = INFINITY;
-    double firstMs = INFINITY;  // of the first event that has not led to a read yet
-    double lookAtMs = clock_.nowMs() + config_.pollIntervalMs;
+    double firstEventMs = INFINITY;  // of the first event that has not led to a read yet
+    double nextPollMs = clock_.nowMs() + config_.pollIntervalMs;
     for (;;) {
         const double now = clock_.nowMs();
         const double settleAtMs =
             incompleteSinceMs_ > 0 ? incompleteSinceMs_ + limits_.incompleteFileTimeoutMs : INFINITY;
-        const double next = std::min({readAtMs, lookAtMs, membershipManager_.nextRemovalMs(), settleAtMs});
+        const double wakeAtMs =
+            std::min({readAtMs, nextPollMs, membershipManager_.nextRemovalMs(), settleAtMs});
         pollfd fds[2] = {{stopPipe_[0], POLLIN, 0}, {watcher_.fd(), POLLIN, 0}};
-        const int wait = static_cast<int>(std::clamp(std::ceil(next - now), 0.0, 60'000.0));
-        (void)poll(fds, watcher_.fd() >= 0 ? 2 : 1, wait);
+        const int timeoutMs = static_cast<int>(std::clamp(std::ceil(wakeAtMs - now), 0.0, 60'000.0));
+        (void)poll(fds, watcher_.fd() >= 0 ? 2 : 1, timeoutMs);
         if (fds[0].revents != 0) return;
-        const double after = clock_.nowMs();
+        const double afterPollMs = clock_.nowMs();
         if (watcher_.fd() >= 0 && fds[1].revents != 0) {
-            const FileWatcher::EventSummary seen = watcher_.readEvents();
-            if (seen.queueOverflowed) {
+            const FileWatcher::EventSummary events = watcher_.readEvents();
+            if (events.queueOverflowed) {
                 const std::lock_guard lock(mutex_);
                 ++status_.overflowCount;
             }
-            firstMs = std::min(firstMs, after);
-            const bool now =
-                seen.writeFinished || seen.queueOverflowed || after - firstMs >= limits_.maxFileReadDelayMs;
-            if (seen.anyEvent) readAtMs = now ? after : after + limits_.fileQuietMs;
+            firstEventMs = std::min(firstEventMs, afterPollMs);
+            const bool readNow = events.writeFinished || events.queueOverflowed ||
+                                 afterPollMs - firstEventMs >= limits_.maxFileReadDelayMs;
+            if (events.anyEvent) readAtMs = readNow ? afterPollMs : afterPollMs + limits_.fileQuietMs;
         }
-        if (after >= lookAtMs) {
-            lookAtMs = after + config_.pollIntervalMs;
-            if (computeFingerprint(expandPaths(config_.paths)) != lastFingerprint_) readAtMs = after;
+        if (afterPollMs >= nextPollMs) {
+            nextPollMs = afterPollMs + config_.pollIntervalMs;
+            if (computeFingerprint(expandPaths(config_.paths)) != lastFingerprint_) readAtMs = afterPollMs;
         }
         const bool settled =
-            incompleteSinceMs_ > 0 && after >= incompleteSinceMs_ + limits_.incompleteFileTimeoutMs;
-        if (after >= readAtMs || settled) {
-            readAtMs = firstMs = INFINITY;
+            incompleteSinceMs_ > 0 && afterPollMs >= incompleteSinceMs_ + limits_.incompleteFileTimeoutMs;
+        if (afterPollMs >= readAtMs || settled) {
+            readAtMs = firstEventMs = INFINITY;
             readAndOffer(settled);
         }
-        if (membershipManager_.removeDeparted(after)) publishUpdate();
-        std::vector<MembershipUpdate> spent;  // destroyed after the lock is released
+        if (membershipManager_.removeDeparted(afterPollMs)) publishUpdate();
+        std::vector<MembershipUpdate> retired;  // destroyed after the lock is released
         const std::lock_guard lock(mutex_);
-        spent.swap(retiredUpdates_);
+        retired.swap(retiredUpdates_);
     }
 }
 
@@ -143,44 +144,45 @@
 void NodeFileMonitor::readAndOffer(bool settled) {
     const std::vector<std::string> files = expandPaths(config_.paths);
     lastFingerprint_ = computeFingerprint(files);
-    const std::vector<membership::ParsedNodeFile> drafts =
+    const std::vector<membership::ParsedNodeFile> parsedFiles =
         readNodeFiles(files, limits_.maxNodeFileBytes, !settled);
-    const double now = clock_.nowMs();
-    const membership::OfferResult verdict = membershipManager_.offerVersion(drafts, now);
-    const bool waiting = verdict.outcome == OfferOutcome::incomplete && !settled;
-    incompleteSinceMs_ = !waiting ? 0 : incompleteSinceMs_ > 0 ? incompleteSinceMs_ : now;
+    const double nowMs = clock_.nowMs();
+    const membership::OfferResult result = membershipManager_.offerVersion(parsedFiles, nowMs);
+    const bool mayStillBeWritten = result.outcome == OfferOutcome::incomplete && !settled;
+    incompleteSinceMs_ = !mayStillBeWritten ? 0 : incompleteSinceMs_ > 0 ? incompleteSinceMs_ : nowMs;
 
     std::vector<std::string> lines;
-    for (const membership::Problem& problem : verdict.problems) lines.push_back(problem.text());
+    for (const membership::Problem& problem : result.problems) lines.push_back(problem.text());
     {
         const std::lock_guard lock(mutex_);
         ++status_.readCount;
-        status_.acceptedCount += verdict.outcome == OfferOutcome::accepted;
-        status_.refusedCount += verdict.outcome == OfferOutcome::refused;
-        status_.incompleteCount += verdict.outcome == OfferOutcome::incomplete;
-        if (verdict.outcome == OfferOutcome::accepted || verdict.outcome == OfferOutcome::unchanged)
+        status_.acceptedCount += result.outcome == OfferOutcome::accepted;
+        status_.refusedCount += result.outcome == OfferOutcome::refused;
+        status_.incompleteCount += result.outcome == OfferOutcome::incomplete;
+        if (result.outcome == OfferOutcome::accepted || result.outcome == OfferOutcome::unchanged)
             status_.fromKeptCopy = false;
-        if (!waiting) {
-            if (status_.refusalLines.empty() || lines != status_.refusalLines) status_.refusedSinceMs = now;
+        if (!mayStillBeWritten) {
+            if (status_.refusalLines.empty() || lines != status_.refusalLines) status_.refusedSinceMs = nowMs;
             status_.refusalLines = lines;
         }
     }
-    if (verdict.outcome == OfferOutcome::accepted) {
-        for (const std::string& text : verdict.notes)
+    if (result.outcome == OfferOutcome::accepted) {
+        for (const std::string& text : result.notes)
             addLogMessage(false, "leftover part file ignored", {{"reason", text}});
         publishUpdate();
         saveKeptVersion();
     }
-    if (waiting) return;
-    std::string complaint;
-    for (const std::string& line : lines) complaint += line + '\n';
-    if (complaint != lastLoggedRefusal_) {
-        const std::uint64_t stays = membershipManager_.current() ? membershipManager_.current()->version : 0;
+    if (mayStillBeWritten) return;
+    std::string refusal;
+    for (const std::string& line : lines) refusal += line + '\n';
+    if (refusal != lastLoggedRefusal_) {
+        const std::uint64_t versionInForce =
+            membershipManager_.current() ? membershipManager_.current()->version : 0;
         for (const std::string& line : lines)
             addLogMessage(true, "not taken",
-                          {{"version", verdict.version}, {"in_force", stays}, {"reason", line}});
+                          {{"version", result.version}, {"in_force", versionInForce}, {"reason", line}});
     }
-    lastLoggedRefusal_ = std::move(complaint);
+    lastLoggedRefusal_ = std::move(refusal);
 }
 
 // Computes the changes on this thread, relative to the membership that the loop took last, and again if the
@@ -193,10 +195,10 @@
             const std::lock_guard lock(mutex_);
             base = loopMembership_;
         }
-        MembershipUpdate handed{next, membership::diffMemberships(base.get(), *next)};
+        MembershipUpdate update{next, membership::diffMemberships(base.get(), *next)};
         const std::lock_guard lock(mutex_);
         if (loopMembership_ != base) continue;
-        pendingUpdate_ = std::move(handed);
+        pendingUpdate_ = std::move(update);
         status_.version = next->version;
         status_.activatedAtMs = next->activatedAtMs;
         status_.nodeCount = next->members.size();
@@ -218,13 +220,13 @@
     ++status_.keepFailureCount;
 }
 
-std::optional<NodeFileMonitor::MembershipUpdate> NodeFileMonitor::takeUpdate(MembershipUpdate spent) {
+std::optional<NodeFileMonitor::MembershipUpdate> NodeFileMonitor::takeUpdate(MembershipUpdate retired) {
     const std::lock_guard lock(mutex_);
-    if (spent.membership) retiredUpdates_.push_back(std::move(spent));
-    std::optional<MembershipUpdate> out = std::move(pendingUpdate_);
+    if (retired.membership) retiredUpdates_.push_back(std::move(retired));
+    std::optional<MembershipUpdate> update = std::move(pendingUpdate_);
     pendingUpdate_.reset();
-    if (out) loopMembership_ = out->membership;
-    return out;
+    if (update) loopMembership_ = update->membership;
+    return update;
 }
 
 NodeFileStatus NodeFileMonitor::status() const {
@@ -232,11 +234,11 @@
     return status_;
 }
 
-void NodeFileMonitor::addLogMessage(bool warn, std::string message, LogFields fields) {
+void NodeFileMonitor::addLogMessage(bool isWarning, std::string message, LogFields fields) {
     {
         const std::lock_guard lock(mutex_);
         if (logMessages_.size() < limits_.maxLogLinesPerSecond * 2)
-            logMessages_.push_back({warn, std::move(message), std::move(fields)});
+            logMessages_.push_back({isWarning, std::move(message), std::move(fields)});
     }
     if (wakeLoop_) wakeLoop_();
 }
--- a/src/files/source.cpp
+++ b/src/files/source.cpp
@@ -14,22 +14,22 @@
 
 // Gives a name the same id in every instance of the program. The id has 64 bits because among 100,000 names
 // two are likely to share a 32-bit hash.
-NodeId idOf(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
-
-NodeEntry entryOf(const membership::MemberChange& change) {
-    const membership::Member& m = change.member;
-    NodeEntry out;
-    out.id = idOf(m.name);
-    out.name = m.name;
-    out.address = m.address;
-    out.shard = m.shard;
-    out.weight = m.weight > 0 ? m.weight : 1;  // weight 0 is expressed as draining below
-    out.bootTimeMs = m.bootTimeMs;
-    const bool nothing = change.targetState == membership::TargetState::draining || m.weight <= 0;
-    out.state = change.targetState == membership::TargetState::gone ? NodeState::gone
-                : nothing                                           ? NodeState::draining
-                                                                    : NodeState::ready;
-    return out;
+NodeId nodeIdFromName(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
+
+NodeEntry toNodeEntry(const membership::MemberChange& change) {
+    const membership::Member& member = change.member;
+    NodeEntry entry;
+    entry.id = nodeIdFromName(member.name);
+    entry.name = member.name;
+    entry.address = member.address;
+    entry.shard = member.shard;
+    entry.weight = member.weight > 0 ? member.weight : 1;  // weight 0 is expressed as draining below
+    entry.bootTimeMs = member.bootTimeMs;
+    const bool isDraining = change.targetState == membership::TargetState::draining || member.weight <= 0;
+    entry.state = change.targetState == membership::TargetState::gone ? NodeState::gone
+                  : isDraining                                        ? NodeState::draining
+                                                                      : NodeState::ready;
+    return entry;
 }
 
 }  // namespace
@@ -65,29 +65,29 @@
       nextSliceTimer_(base, [this] { deliverSlice(); }) {}
 
 NodeList NodeFileSource::takeInitialNodes() {
-    NodeList out{0, true, {}};
-    if (auto handed = monitor_.takeUpdate({})) {
-        currentUpdate_ = std::move(*handed);
+    NodeList list{0, true, {}};
+    if (auto update = monitor_.takeUpdate({})) {
+        currentUpdate_ = std::move(*update);
         for (const membership::MemberChange& change : currentUpdate_.changes)
-            out.nodes.push_back(entryOf(change));
+            list.nodes.push_back(toNodeEntry(change));
         deliveredCount_ = currentUpdate_.changes.size();
         appliedVersion_ = currentUpdate_.membership->version;
-        out.version = static_cast<std::int64_t>(appliedVersion_);
+        list.version = static_cast<std::int64_t>(appliedVersion_);
     }
-    return out;
+    return list;
 }
 
-void NodeFileSource::start(std::function<void(const NodeList&)> told) {
-    onNodes_ = std::move(told);
+void NodeFileSource::start(std::function<void(const NodeList&)> onNodes) {
+    onNodes_ = std::move(onNodes);
     event_add(wakeEvent_.get(), nullptr);
     onMonitorWake();
     monitor_.start();
 }
 
 void NodeFileSource::onMonitorWake() {
-    for (const DeferredLogMessage& note : monitor_.takeLogMessages())
-        note.isWarning ? log_.warn("nodes", note.message, note.fields)
-                       : log_.info("nodes", note.message, note.fields);
+    for (const DeferredLogMessage& logMessage : monitor_.takeLogMessages())
+        logMessage.isWarning ? log_.warn("nodes", logMessage.message, logMessage.fields)
+                             : log_.info("nodes", logMessage.message, logMessage.fields);
     updateCounters();
     deliverSlice();
 }
@@ -96,23 +96,26 @@
 // to twice the batch size, so that every decision sees a shard as one version defines it.
 void NodeFileSource::deliverSlice() {
     if (deliveredCount_ >= currentUpdate_.changes.size()) {
-        auto handed = monitor_.takeUpdate(std::move(currentUpdate_));
+        auto update = monitor_.takeUpdate(std::move(currentUpdate_));
         currentUpdate_ = {};
-        if (!handed) return;
-        currentUpdate_ = std::move(*handed);
+        if (!update) return;
+        currentUpdate_ = std::move(*update);
         deliveredCount_ = 0;
     }
     const double startMs = clock_.nowMs();
     while (deliveredCount_ < currentUpdate_.changes.size() &&
            clock_.nowMs() - startMs < limits_.nodeChangeTimeSliceMs) {
         NodeList list{static_cast<std::int64_t>(currentUpdate_.membership->version), false, {}};
-        const std::size_t most =
+        const std::size_t batchEnd =
             std::min(currentUpdate_.changes.size(), deliveredCount_ + limits_.nodeChangesPerBatch);
-        const auto shard = [&](std::size_t i) { return currentUpdate_.changes[i].member.shard; };
-        while (deliveredCount_ < most || (deliveredCount_ < currentUpdate_.changes.size() &&
-                                          deliveredCount_ < most + limits_.nodeChangesPerBatch &&
-                                          shard(deliveredCount_) == shard(deliveredCount_ - 1)))
-            list.nodes.push_back(entryOf(currentUpdate_.changes[deliveredCount_++]));
+        const auto shardOfChange = [&](std::size_t index) {
+            return currentUpdate_.changes[index].member.shard;
+        };
+        while (deliveredCount_ < batchEnd ||
+               (deliveredCount_ < currentUpdate_.changes.size() &&
+                deliveredCount_ < batchEnd + limits_.nodeChangesPerBatch &&
+                shardOfChange(deliveredCount_) == shardOfChange(deliveredCount_ - 1)))
+            list.nodes.push_back(toNodeEntry(currentUpdate_.changes[deliveredCount_++]));
         onNodes_(list);
     }
     longestSliceMs_ = std::max(longestSliceMs_, clock_.nowMs() - startMs);
@@ -128,17 +131,17 @@
 }
 
 void NodeFileSource::updateCounters() {
-    const NodeFileStatus now = monitor_.status();
-    const auto count = [&](const char* name, std::uint64_t NodeFileStatus::*field) {
-        if (now.*field > countedStatus_.*field) counters_.add(name, now.*field - countedStatus_.*field);
+    const NodeFileStatus status = monitor_.status();
+    const auto addIncrease = [&](const char* name, std::uint64_t NodeFileStatus::*field) {
+        if (status.*field > countedStatus_.*field) counters_.add(name, status.*field - countedStatus_.*field);
     };
-    count("files_accepted", &NodeFileStatus::acceptedCount);
-    count("files_refused", &NodeFileStatus::refusedCount);
-    count("files_incomplete", &NodeFileStatus::incompleteCount);
-    count("files_read", &NodeFileStatus::readCount);
-    count("files_not_kept", &NodeFileStatus::keepFailureCount);
-    count("files_overflow", &NodeFileStatus::overflowCount);
-    countedStatus_ = now;
+    addIncrease("files_accepted", &NodeFileStatus::acceptedCount);
+    addIncrease("files_refused", &NodeFileStatus::refusedCount);
+    addIncrease("files_incomplete", &NodeFileStatus::incompleteCount);
+    addIncrease("files_read", &NodeFileStatus::readCount);
+    addIncrease("files_not_kept", &NodeFileStatus::keepFailureCount);
+    addIncrease("files_overflow", &NodeFileStatus::overflowCount);
+    countedStatus_ = status;
 }
 
 std::string NodeFileSource::statusText() const { return monitor_.status().toText(clock_.nowMs()); }
--- a/src/files/source.h
+++ b/src/files/source.h
@@ -64,19 +64,19 @@
         membership::MembershipPtr membership;
         std::vector<membership::MemberChange> changes;  ///< relative to the update taken before
     };
-    /// Reads the kept version and the files before it returns. `wake` is called, on the thread as well, when
-    /// there is an update or a log message to take.
+    /// Reads the kept version and the files before it returns. `wakeLoop` is called, on the thread as well,
+    /// when there is an update or a log message to take.
     NodeFileMonitor(NodeFileConfig config, const Clock& clock, const Limits& limits,
-                    std::function<void()> wake);
+                    std::function<void()> wakeLoop);
     ~NodeFileMonitor();
     NodeFileMonitor(const NodeFileMonitor&) = delete;
     NodeFileMonitor& operator=(const NodeFileMonitor&) = delete;
 
     /// Starts the thread.
     void start();
-    /// Returns the newest update since the last call, if any. The thread frees `spent`, the update that the
+    /// Returns the newest update since the last call, if any. The thread frees `retired`, the update that the
     /// caller has finished with: freeing 100,000 nodes would stall the loop.
-    [[nodiscard]] std::optional<MembershipUpdate> takeUpdate(MembershipUpdate spent);
+    [[nodiscard]] std::optional<MembershipUpdate> takeUpdate(MembershipUpdate retired);
     [[nodiscard]] NodeFileStatus status() const;
     /// Returns the log messages since the last call; beyond a limit, messages are dropped.
     [[nodiscard]] std::vector<DeferredLogMessage> takeLogMessages();
@@ -87,7 +87,7 @@
     void restoreKeptVersion();
     void publishUpdate();
     void saveKeptVersion();
-    void addLogMessage(bool warn, std::string message, LogFields fields);
+    void addLogMessage(bool isWarning, std::string message, LogFields fields);
 
     NodeFileConfig config_;
     const Clock& clock_;
@@ -137,8 +137,8 @@
 
     /// Returns the nodes in force at the start as a complete list; its version is 0 if there are none yet.
     [[nodiscard]] NodeList takeInitialNodes();
-    /// Starts the monitor's thread. From now on calls `told` with every batch of changes.
-    void start(std::function<void(const NodeList&)> told);
+    /// Starts the monitor's thread. From now on calls `onNodes` with every batch of changes.
+    void start(std::function<void(const NodeList&)> onNodes);
 
     [[nodiscard]] std::string statusText() const;
     [[nodiscard]] LogFields statusFields() const { return monitor_.status().logFields(clock_.nowMs()); }
--- a/src/files/text_format.h
+++ b/src/files/text_format.h
@@ -16,10 +16,10 @@
     std::string reason;
 };
 
-/// Parses `bytes` into `message`. Returns the first error, or nothing on success. If `places` is given, it
-/// receives the position of every field. `bytes` must be shorter than 2 GiB.
+/// Parses `bytes` into `message`. Returns the first error, or nothing on success. If `fieldPositions` is
+/// given, it receives the position of every field. `bytes` must be shorter than 2 GiB.
 [[nodiscard]] std::optional<TextParseError> parseTextFormat(
     std::string_view bytes, google::protobuf::Message& message,
-    google::protobuf::TextFormat::ParseInfoTree* places = nullptr);
+    google::protobuf::TextFormat::ParseInfoTree* fieldPositions = nullptr);
 
 }  // namespace martencove::files
