--- a/tests/files/node_file_test.cpp
+++ b/tests/files/node_file_test.cpp
@@ -1,4 +1,4 @@
-// The form of a file of nodes, and the watch on files, without the program.
+// Tests of the node file format, of reading and writing files and of FileWatcher, without the program.
 #include "files/node_file.h"
 
 #include <doctest/doctest.h>
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-TEST_CASE("a file cut at any byte is never taken, and never refused for good") {
+TEST_CASE("a file truncated at any byte is incomplete: neither accepted nor refused") {
     const std::string whole = withTrailer(body(7, 5), 7);
     REQUIRE(offered(whole) == OfferOutcome::accepted);
     const std::size_t close = whole.rfind('}');
@@ -64,10 +64,10 @@
         CHECK_MESSAGE(offered(whole.substr(0, cut)) == OfferOutcome::incomplete, cut);
         CHECK(offered(whole.substr(0, cut), true) == OfferOutcome::incomplete);
     }
-    CHECK(offered(whole.substr(0, close + 1)) == OfferOutcome::accepted);  // only the line's end is missing
+    CHECK(offered(whole.substr(0, close + 1)) == OfferOutcome::accepted);  // only the newline is missing
 }
 
-TEST_CASE("the new head with the old tail, cut anywhere, is never taken") {
+TEST_CASE("the start of a new version followed by the rest of the old one is never accepted") {
     const std::string old = withTrailer(body(7, 5), 7);
     for (const std::string& next :
          {withTrailer(body(8, 5), 8), withTrailer(body(8, 4), 8), withTrailer(body(8, 9), 8)}) {
@@ -79,7 +79,7 @@
     }
 }
 
-TEST_CASE("blocks of the new version in any order over the old one are never taken") {
+TEST_CASE("an old version partly overwritten with blocks of a new one is never accepted") {
     std::mt19937_64 random(7);
     MESSAGE("seed 7");
     const std::string old = withTrailer(body(7, 40), 7);
@@ -94,7 +94,7 @@
     }
 }
 
-TEST_CASE("what a sealed file has wrong is told with its place") {
+TEST_CASE("an error in a file with a valid trailer is reported with line and column") {
     const auto problem = [](const std::string& bytes) {
         const ParsedNodeFile d = decodeNodeFile("f", bytes, false);
         return d.problems.empty() ? "" : d.problems.front().text();
@@ -109,7 +109,7 @@
     CHECK(d.members[1].line == 5);
     CHECK(d.permits.at(0).racks == std::vector<std::string>{"b"});
     CHECK(d.permits[0].shards == std::vector<int>{4});
-    // A shard that is not told is no shard 0.
+    // A missing shard is not shard 0.
     CHECK(offered(withTrailer("version: 1\ncount: 1\nnode { name: \"a\" dial: \"h:1\" }\n", 1)) ==
           OfferOutcome::refused);
     for (const std::string& junk : {std::string(1000, '\0'), std::string("\xff\xfe\n\n"),
@@ -117,7 +117,7 @@
         CHECK(offered(junk) == OfferOutcome::incomplete);
 }
 
-TEST_CASE("sealing again after an edit keeps what a person wrote") {
+TEST_CASE("updateCountAndTrailer keeps the text of a file that was edited by hand") {
     const std::string edited = "# racks as of today\nversion: 4\ncount: 9  # nodes\n" +
                                body(1, 2).substr(body(1, 2).find("node")) + "end { version: 3 }\n";
     const std::string again = updateCountAndTrailer("f", edited);
@@ -127,7 +127,7 @@
     CHECK_THROWS_AS((void)updateCountAndTrailer("f", "version: x\n"), std::invalid_argument);
 }
 
-TEST_CASE("the kept version comes back as it was, and a spoilt one not at all") {
+TEST_CASE("a kept version is decoded unchanged, and a corrupted one is not used") {
     MembershipManager gate{MembershipRules{}};
     REQUIRE(gate.offerVersion({decodeNodeFile("f", withTrailer(body(7, 5), 7), true)}, 1000).outcome ==
             OfferOutcome::accepted);
@@ -147,7 +147,7 @@
     }
 }
 
-TEST_CASE("only regular files of a bounded size are read, and none is waited on") {
+TEST_CASE("only regular files up to a size limit are read, without blocking") {
     const Folder folder;
     CHECK(readRegularFile(folder.put("a", "text"), 4).bytes == "text");
     CHECK(readRegularFile(folder.path / "a", 3).error.find("at most 3") != std::string::npos);
@@ -162,7 +162,7 @@
     CHECK(!writeFileAtomically(folder.path / "none" / "b", "x").empty());
 }
 
-TEST_CASE("the watch hears of every way in which a file may change") {
+TEST_CASE("FileWatcher reports every way in which a file may change") {
     const Folder folder;
     const fs::path dir = folder.path / "conf";
     fs::create_directory(dir);
@@ -180,7 +180,7 @@
     CHECK(told(watch));
 }
 
-TEST_CASE("the watch hears of a file in a folder that was deleted and made again") {
+TEST_CASE("FileWatcher reports a file in a folder that was deleted and recreated") {
     const Folder folder;
     const fs::path dir = folder.path / "conf";
     fs::create_directory(dir);
@@ -195,7 +195,7 @@
     CHECK(told(watch));
 }
 
-TEST_CASE("the watch follows a symbolic link that is switched to another folder") {
+TEST_CASE("FileWatcher follows a symbolic link that is switched to another folder") {
     const Folder folder;
     for (const char* name : {"v1", "v2", "v3"}) {
         fs::create_directory(folder.path / name);
@@ -211,17 +211,17 @@
     REQUIRE(told(watch));
     while (watch.readEvents().anyEvent) {
     }
-    std::ofstream(folder.path / "v2" / "nodes") << "v2 again";  // where the link leads now
+    std::ofstream(folder.path / "v2" / "nodes") << "v2 again";  // the link's present target
     CHECK(told(watch));
     while (watch.readEvents().anyEvent) {
     }
-    std::ofstream(folder.path / "v1" / "nodes") << "v1 again";  // and where it leads no more
+    std::ofstream(folder.path / "v1" / "nodes") << "v1 again";  // a former target
     CHECK(!watch.readEvents().anyEvent);
     turn("v3");
     CHECK(told(watch));
 }
 
-TEST_CASE("a folder means its textproto files, and a fingerprint tells of what no event tells") {
+TEST_CASE("a folder expands to its textproto files, and the fingerprint shows changes") {
     const Folder folder;
     folder.put("b.textproto", "1");
     folder.put("a.textproto", "1");
--- a/tests/files/source_test.cpp
+++ b/tests/files/source_test.cpp
@@ -1,4 +1,4 @@
-// The program with storage nodes from files, between stand-in nodes and clients.
+// Tests of the program with storage nodes from files, between stub nodes and clients.
 #include <doctest/doctest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -33,7 +33,7 @@
                nodes[i]->listener.address.toString() + "\" shard: 5 rack: \"r" + std::to_string(i % 2) +
                "\" " + more + "}\n";
     }
-    /// A version with these nodes.
+    /// The text of a version with these nodes and with `more` before them.
     std::string version(std::uint64_t number, const std::vector<int>& which,
                         const std::string& more = "") const {
         std::string out =
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-TEST_CASE("files: a first version serves, a newer one takes over, a broken one changes nothing") {
+TEST_CASE("files: a newer version replaces the first, and an invalid one changes nothing") {
     FileWorld t;
     t.put(t.version(1, {0}));
     t.world.start();
@@ -81,13 +81,13 @@
     CHECK(t.served(3) == 3);
     CHECK(t.world.readCounter("files_refused") >= 1);
     CHECK(t.world.log.find("nodes: not taken version=3 in_force=2 reason=") != std::string::npos);
-    // SIGUSR1 shows the same.
+    // SIGUSR1 logs the same refusal.
     t.world.sendSignal(SIGUSR1);
     CHECK(t.world.waitUntil([&] { return t.world.log.find("refusal=") != std::string::npos; }));
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("files: a version without one rack is refused, a permit for the step lets it pass") {
+TEST_CASE("files: a version that removes a rack is refused, unless a permit allows it") {
     FileWorld t;
     t.put(t.version(1, {0, 1, 2, 3}));
     t.world.start();
@@ -98,7 +98,7 @@
     CHECK(t.inForce(3));
 }
 
-TEST_CASE("files: without any whole version the program is not ready, then it is") {
+TEST_CASE("files: the program is ready only once it has read a complete version") {
     FileWorld t;
     t.put(t.version(1, {0}).substr(0, 60));
     t.world.startUntilAnswering();
@@ -110,7 +110,7 @@
     CHECK(t.served(1) == 1);
 }
 
-TEST_CASE("files: what is no file of nodes is told of and harms nothing") {
+TEST_CASE("files: anything that is not a node file is reported and changes nothing") {
     FileWorld t;
     t.put(t.version(1, {0}));
     t.world.start();
@@ -136,11 +136,11 @@
         replace([&] { fs::create_symlink("nodes.textproto", t.file()); });
         CHECK(t.refused("cannot be opened: Too many levels of symbolic links"));
     }
-    SUBCASE("a folder: the files in it are meant") {
+    SUBCASE("a folder, which stands for the files in it") {
         replace([&] { fs::create_directory(t.file()); });
         CHECK(t.refused("no files of nodes are there"));
     }
-    SUBCASE("the folder deleted and made again") {
+    SUBCASE("the folder deleted and recreated") {
         fs::remove_all(t.dir());
         CHECK(t.refused("cannot be opened"));
         CHECK(t.served(2) == 2);
@@ -153,7 +153,7 @@
     CHECK(t.served(2) == 2);
 }
 
-TEST_CASE("files: a restart beside a broken file starts from the kept version and says so") {
+TEST_CASE("files: a restart with an incomplete file starts from the kept version and logs that") {
     FileWorld t;
     t.world.nodesSection["keep"] = t.world.folder() + "/kept";
     t.put(t.version(4, {0, 1}));
@@ -170,7 +170,7 @@
         t.put(t.version(5, {0, 1, 2}));
         CHECK(t.inForce(5));
     }
-    SUBCASE("a kept version that was spoilt is not used") {
+    SUBCASE("a corrupted kept version is not used") {
         CHECK(t.world.stopAndWait() == 0);
         fs::resize_file(t.world.folder() + "/kept", 100);
         t.world.start();
@@ -179,8 +179,9 @@
     }
 }
 
-// Under traffic the file is rewritten in every way, often halfway, the reader stopped and resumed at bad
-// moments. Each version names two of four nodes, in turn; the nodes' own records show which served when.
+// Rewrites the file under traffic in different ways, often only partly, while the program is stopped and
+// resumed in between. Guards against bringing a partly written version into force. The versions name two
+// pairs of the four nodes in turn, and the requests that each node received show which version was in force.
 TEST_CASE("files: a thousand rewrites under traffic") {
     FileWorld t;
     t.nodes.push_back(std::make_unique<StubHttpNode>(t.world.base.get(), replyWithRequestId));
@@ -212,7 +213,8 @@
     std::uint64_t number = 1;
     const auto version = [&] {
         ++number;
-        // Racks and shard change hands each time: meant, from whichever version is in force by then.
+        // Each version removes all nodes of the one before, so it permits that from any version since the
+        // last checkpoint.
         std::string permits;
         for (std::uint64_t from = inForce; from < number; ++from)
             permits +=
@@ -223,11 +225,11 @@
         const std::string text = version();
         const std::size_t cut = random() % text.size();
         switch (random() % 6) {
-            case 0:  // truncated and written, in two steps
+            case 0:  // truncated, then in most cases written completely
                 t.put(text.substr(0, cut));
                 if (random() % 3 != 0) t.put(text);
                 break;
-            case 1: {  // overwritten in place, the old tail stays for a while
+            case 1: {  // overwritten in place, so that the old tail remains for a moment
                 std::fstream out(t.file(), std::ios::in | std::ios::out);
                 out << text.substr(0, cut) << std::flush;
                 out << text.substr(cut);
@@ -235,21 +237,21 @@
                 fs::resize_file(t.file(), text.size());
                 break;
             }
-            case 2:  // renamed over
+            case 2:  // replaced by a rename
                 std::ofstream(t.dir() + "/next") << text;
                 fs::rename(t.dir() + "/next", t.file());
                 break;
-            case 3: {  // left half written, and naming a node that no whole version names
+            case 3: {  // left incomplete, with a node that no complete version names
                 const std::string half = t.version(
                     number, {4}, text.substr(text.find("permit"), text.find("node {") - text.find("permit")));
                 t.put(half.substr(0, half.size() - 3 - random() % (half.size() / 2)));
                 break;
             }
-            case 4:  // deleted, and made anew
+            case 4:  // deleted and recreated
                 fs::remove(t.file());
                 t.put(text);
                 break;
-            case 5:  // behind a symbolic link
+            case 5:  // replaced by a symbolic link
                 std::ofstream(t.dir() + "/v" + std::to_string(round % 2)) << text;
                 fs::remove(t.dir() + "/link");
                 fs::create_symlink("v" + std::to_string(round % 2), t.dir() + "/link");
@@ -261,7 +263,7 @@
         if (round % 4 == 0) send();
         (void)t.world.waitUntil([] { return false; }, 1);
         if (round % 100 == 99) {
-            // A checkpoint: a whole version comes into force, and only its nodes get what comes later.
+            // Checkpoint: after a complete version has come into force, only its nodes get requests.
             fs::remove(t.file());
             t.put(version());
             REQUIRE(t.inForce(number));
@@ -279,8 +281,8 @@
     REQUIRE(t.world.waitUntil([&] { return answered == sent; }));
     const long long swaps = t.world.readCounter("files_accepted");
     CHECK_MESSAGE(swaps > 200, swaps);
-    CHECK(good == sent);                  // nothing lost, nothing failed, nothing refused
-    CHECK(t.nodes[4]->requests.empty());  // only whole versions were ever in force
+    CHECK(good == sent);                  // no request was lost, failed or refused
+    CHECK(t.nodes[4]->requests.empty());  // no incomplete version was ever in force
     std::map<std::string, int> seen;
     for (const auto& node : t.nodes)
         for (const ParsedHttpMessage& request : node->requests) ++seen[request.header("Req-Id")];
@@ -288,7 +290,7 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("files: ten versions at once, the last one wins; two parts come into force together") {
+TEST_CASE("files: of ten versions in a row the last comes into force; two parts do so together") {
     FileWorld t;
     t.world.nodesSection["path"] = t.dir();
     t.put(t.version(1, {0, 1, 2}));
@@ -309,7 +311,7 @@
     CHECK(t.served(4) == 4);
 }
 
-TEST_CASE("files: a shard's holders share its work by weight, and one that dies fails nobody") {
+TEST_CASE("files: holders share a shard's requests by weight, and the death of one fails none") {
     FileWorld t;
     const auto weighted = [&](std::uint64_t v, const std::string& first) {
         return files::withTrailer(
@@ -325,7 +327,7 @@
         std::snprintf(name, sizeof name, "%016x", i);
         return text.replace(text.find("7f3a9c21e0b4d655"), 16, name);
     };
-    std::map<std::string, std::size_t> places;  // by piece: the node whose record grew
+    std::map<std::string, std::size_t> places;  // by piece: the node that received its request
     const auto place = [&](int i) {
         std::vector<std::size_t> before;
         for (const auto& node : t.nodes) before.push_back(node->requests.size());
@@ -342,7 +344,7 @@
     CHECK(of(1) > 5);
     CHECK(of(2) > 5);
     CHECK(of(3) == 0);
-    // Node 1 dies: its pieces are served by the others, all others stay.
+    // Node 1 dies: other nodes serve its pieces, and all other pieces keep their node.
     t.nodes[1] = std::make_unique<StubHttpNode>(t.world.base.get(), replyWithRequestId);
     for (int i = 0; i < 60; ++i) {
         const std::size_t now = place(i);
@@ -352,7 +354,7 @@
     CHECK(t.world.stopAndWait() == 0);
 }
 
-TEST_CASE("files: the log as JSON lines, whatever stands in a file") {
+TEST_CASE("files: the JSON log stays valid whatever a file contains") {
     FileWorld t;
     t.put(t.version(1, {0}));
     t.world.extraArguments = {"--log", "json"};
@@ -374,7 +376,7 @@
     CHECK(refusals >= 1);
 }
 
-TEST_CASE("files: a node that leaves and returns, and one replaced under its name") {
+TEST_CASE("files: a node that returns is still warm, one replaced under its name starts cold") {
     FileWorld t;
     t.world.config["settings"]["Rules"].update(
         {{"ColdShare", 0.25}, {"WarmWithinMs", 20000}, {"FallMs", 1000}});
@@ -383,7 +385,7 @@
     t.put(t.version(1, {0, 1, 2, 3}));
     t.world.start();
     REQUIRE(t.inForce(1));
-    const auto units = [&](std::size_t node) {  // what it gets of a burst that would be much for a cold one
+    const auto units = [&](std::size_t node) {  // units that it gets of a burst too large for a cold node
         const std::size_t before = t.nodes[node]->requests.size();
         for (int i = 0; i < 80; ++i) {
             std::string text = t.world.makeRequest("b" + std::to_string(++t.asked));
@@ -399,9 +401,9 @@
     REQUIRE(t.inForce(2));
     t.put(t.version(3, {0, 1, 2, 3}));
     REQUIRE(t.inForce(3));
-    CHECK(units(3) > 20);  // the same process: it is warm
+    CHECK(units(3) > 20);  // the same process, so it is warm
     t.nodes[3] = std::make_unique<StubHttpNode>(t.world.base.get(), replyWithRequestId);
-    t.put(t.version(4, {0, 1, 2, 3}));  // the same name at another address
+    t.put(t.version(4, {0, 1, 2, 3}));  // the same name with another address
     REQUIRE(t.inForce(4));
-    CHECK(units(3) <= 16);  // a just started one gets what the cold rule allows
+    CHECK(units(3) <= 16);  // limited by the settings for cold nodes
 }
