--- a/src/files/text_format.cpp
+++ b/src/files/text_format.cpp
@@ -25,7 +25,7 @@
     if (fieldPositions != nullptr) parser.WriteLocationsTo(fieldPositions);
     google::protobuf::io::ArrayInputStream stream(bytes.data(), static_cast<int>(bytes.size()));
     if (parser.Parse(&stream, &message)) return std::nullopt;
-    if (collector.error.reason.empty()) collector.error.reason = "cannot be read";
+    if (collector.error.reason.empty()) collector.error.reason = "cannot be parsed";
     return collector.error;
 }
 
