--- a/src/files/node_file.h
+++ b/src/files/node_file.h
@@ -21,10 +21,11 @@
 /// Finds the trailer: the last line that begins with `end {`.
 [[nodiscard]] FileTrailer parseTrailer(std::string_view bytes);
 
-/// Parses the content of one node file. Without a valid trailer every problem has severity `incomplete`,
-/// since the file may be in the middle of a write; a syntax error carries the line and column where the
-/// parser stopped. With `skipWithoutTrailer`, content without a valid trailer is not parsed at all, which is
-/// faster, and its problem has no line. A syntax error under a valid trailer has severity `refused`.
+/// Parses the content of one node file. A syntax error carries the line and column where the parser stopped.
+/// Without a valid trailer it has severity `incomplete`, like the missing or invalid trailer itself, since
+/// the file may be in the middle of a write; under a valid trailer it has severity `refused`. With
+/// `skipWithoutTrailer`, content without a valid trailer is not parsed at all, which is faster, and its
+/// problem has no line.
 [[nodiscard]] membership::ParsedNodeFile decodeNodeFile(const std::string& file, std::string_view bytes,
                                                         bool skipWithoutTrailer);
 
--- a/src/files/node_file_monitor.cpp
+++ b/src/files/node_file_monitor.cpp
@@ -95,8 +95,8 @@
 
 // Reads the files at once after a file was closed or renamed and after a queue overflow. After other events,
 // reads them once no event has come for fileQuietMs, at the latest maxFileReadDelayMs after the first.
-// Polling finds changes that sent no event. Incomplete content is reported once it has stayed so for
-// incompleteFileTimeoutMs.
+// Polling finds changes that sent no event. Incomplete content is read again and reported once it has
+// stayed so for incompleteFileTimeoutMs.
 void NodeFileMonitor::run() {
     double readAtMs = INFINITY;
     double firstEventMs = INFINITY;  // of the first event that has not led to a read yet
