--- a/src/files/node_file_monitor.cpp
+++ b/src/files/node_file_monitor.cpp
@@ -17,7 +17,7 @@
 
 using membership::OfferOutcome;
 
-std::string age(double ms) {
+std::string formatSeconds(double ms) {
     char text[32];
     std::snprintf(text, sizeof text, "%.1f s", std::max(ms, 0.0) / 1000);
     return text;
@@ -26,48 +26,48 @@
 }  // namespace
 
 std::string NodeFileStatus::toText(double nowMs) const {
-    std::string out;
+    std::string text;
     if (version == 0)
-        out = "no version in force\n";
+        text = "no version in force\n";
     else
-        out = "version " + std::to_string(version) + " in force for " + age(nowMs - activatedAtMs) +
-              (fromKeptCopy ? ", from the kept copy" : "") + ": " + std::to_string(nodeCount) + " nodes, " +
-              std::to_string(leavingCount) + " leaving\n";
+        text = "version " + std::to_string(version) + " in force for " +
+               formatSeconds(nowMs - activatedAtMs) + (fromKeptCopy ? ", from the kept copy" : "") + ": " +
+               std::to_string(nodeCount) + " nodes, " + std::to_string(leavingCount) + " leaving\n";
     if (!refusalLines.empty()) {
-        out += "newest content not taken for " + age(nowMs - refusedSinceMs) + ":\n";
-        for (const std::string& line : refusalLines) out += "  " + line + '\n';
+        text += "newest content not taken for " + formatSeconds(nowMs - refusedSinceMs) + ":\n";
+        for (const std::string& line : refusalLines) text += "  " + line + '\n';
     }
-    return out;
+    return text;
 }
 
 LogFields NodeFileStatus::logFields(double nowMs) const {
-    LogFields out{{"version", version},
-                  {"age_s", std::llround((nowMs - activatedAtMs) / 1000)},
-                  {"nodes", nodeCount},
-                  {"leaving", leavingCount},
-                  {"kept_copy", fromKeptCopy ? 1 : 0}};
-    if (refusalLines.empty()) return out;
-    out.emplace_back("refused_for_s", std::llround((nowMs - refusedSinceMs) / 1000));
-    out.emplace_back("refusal", refusalLines.front());
-    return out;
+    LogFields fields{{"version", version},
+                     {"age_s", std::llround((nowMs - activatedAtMs) / 1000)},
+                     {"nodes", nodeCount},
+                     {"leaving", leavingCount},
+                     {"kept_copy", fromKeptCopy ? 1 : 0}};
+    if (refusalLines.empty()) return fields;
+    fields.emplace_back("refused_for_s", std::llround((nowMs - refusedSinceMs) / 1000));
+    fields.emplace_back("refusal", refusalLines.front());
+    return fields;
 }
 
 NodeFileMonitor::NodeFileMonitor(NodeFileConfig config, const Clock& clock, const Limits& limits,
-                                 std::function<void()> wake)
+                                 std::function<void()> wakeLoop)
     : config_(std::move(config)),
       clock_(clock),
       limits_(limits),
-      wakeLoop_(std::move(wake)),
+      wakeLoop_(std::move(wakeLoop)),
       membershipManager_(config_.rules),
       watcher_(config_.paths) {
     if (pipe2(stopPipe_, O_CLOEXEC | O_NONBLOCK) != 0)
-        throw std::runtime_error("no pipe for the reader of files");
+        throw std::runtime_error("cannot create the stop pipe of the node file monitor");
     restoreKeptVersion();
     readAndOffer(true);
 }
 
 NodeFileMonitor::~NodeFileMonitor() {
-    close(stopPipe_[1]);  // which the thread sees
+    close(stopPipe_[1]);  // makes the thread end
     if (thread_.joinable()) thread_.join();
     close(stopPipe_[0]);
 }
@@ -93,95 +93,100 @@
     publishUpdate();
 }
 
-// Events lead to a read at once where a writer closed or renamed, else when it rests for a moment. The slow
-// look finds what no event told. Content that is not whole is looked at again, and told of once it has stayed
-// so.
+// Reads the files at once after a file was closed or renamed and after a queue overflow. After other events,
+// reads them once no event has come for fileQuietMs, at the latest maxFileReadDelayMs after the first.
+// Polling finds changes that sent no event. Incomplete content is read again and reported once it has
+// stayed so for incompleteFileTimeoutMs.
 void NodeFileMonitor::run() {
     double readAtMs = INFINITY;
-    double firstMs = INFINITY;  // of the events that wait for a rest
-    double lookAtMs = clock_.nowMs() + config_.pollIntervalMs;
+    double firstEventMs = INFINITY;  // of the first event that has not led to a read yet
+    double nextPollMs = clock_.nowMs() + config_.pollIntervalMs;
     for (;;) {
         const double now = clock_.nowMs();
         const double settleAtMs =
             incompleteSinceMs_ > 0 ? incompleteSinceMs_ + limits_.incompleteFileTimeoutMs : INFINITY;
-        const double next = std::min({readAtMs, lookAtMs, membershipManager_.nextRemovalMs(), settleAtMs});
+        const double wakeAtMs =
+            std::min({readAtMs, nextPollMs, membershipManager_.nextRemovalMs(), settleAtMs});
         pollfd fds[2] = {{stopPipe_[0], POLLIN, 0}, {watcher_.fd(), POLLIN, 0}};
-        const int wait = static_cast<int>(std::clamp(std::ceil(next - now), 0.0, 60'000.0));
-        (void)poll(fds, watcher_.fd() >= 0 ? 2 : 1, wait);
+        const int timeoutMs = static_cast<int>(std::clamp(std::ceil(wakeAtMs - now), 0.0, 60'000.0));
+        (void)poll(fds, watcher_.fd() >= 0 ? 2 : 1, timeoutMs);
         if (fds[0].revents != 0) return;
-        const double after = clock_.nowMs();
+        const double afterPollMs = clock_.nowMs();
         if (watcher_.fd() >= 0 && fds[1].revents != 0) {
-            const FileWatcher::EventSummary seen = watcher_.readEvents();
-            if (seen.queueOverflowed) {
+            const FileWatcher::EventSummary events = watcher_.readEvents();
+            if (events.queueOverflowed) {
                 const std::lock_guard lock(mutex_);
                 ++status_.overflowCount;
             }
-            firstMs = std::min(firstMs, after);
-            const bool now =
-                seen.writeFinished || seen.queueOverflowed || after - firstMs >= limits_.maxFileReadDelayMs;
-            if (seen.anyEvent) readAtMs = now ? after : after + limits_.fileQuietMs;
+            firstEventMs = std::min(firstEventMs, afterPollMs);
+            const bool readNow = events.writeFinished || events.queueOverflowed ||
+                                 afterPollMs - firstEventMs >= limits_.maxFileReadDelayMs;
+            if (events.anyEvent) readAtMs = readNow ? afterPollMs : afterPollMs + limits_.fileQuietMs;
         }
-        if (after >= lookAtMs) {
-            lookAtMs = after + config_.pollIntervalMs;
-            if (computeFingerprint(expandPaths(config_.paths)) != lastFingerprint_) readAtMs = after;
+        if (afterPollMs >= nextPollMs) {
+            nextPollMs = afterPollMs + config_.pollIntervalMs;
+            if (computeFingerprint(expandPaths(config_.paths)) != lastFingerprint_) readAtMs = afterPollMs;
         }
         const bool settled =
-            incompleteSinceMs_ > 0 && after >= incompleteSinceMs_ + limits_.incompleteFileTimeoutMs;
-        if (after >= readAtMs || settled) {
-            readAtMs = firstMs = INFINITY;
+            incompleteSinceMs_ > 0 && afterPollMs >= incompleteSinceMs_ + limits_.incompleteFileTimeoutMs;
+        if (afterPollMs >= readAtMs || settled) {
+            readAtMs = firstEventMs = INFINITY;
             readAndOffer(settled);
         }
-        if (membershipManager_.removeDeparted(after)) publishUpdate();
-        std::vector<MembershipUpdate> spent;  // freed here, without the lock
+        if (membershipManager_.removeDeparted(afterPollMs)) publishUpdate();
+        std::vector<MembershipUpdate> retired;  // destroyed after the lock is released
         const std::lock_guard lock(mutex_);
-        spent.swap(retiredUpdates_);
+        retired.swap(retiredUpdates_);
     }
 }
 
-// `settled`: content that is not whole is told of, with the place where the parser stopped.
+// With `settled`, incomplete content is reported as well, with the line and column where the parser stopped.
 void NodeFileMonitor::readAndOffer(bool settled) {
     const std::vector<std::string> files = expandPaths(config_.paths);
     lastFingerprint_ = computeFingerprint(files);
-    const std::vector<membership::ParsedNodeFile> drafts =
+    const std::vector<membership::ParsedNodeFile> parsedFiles =
         readNodeFiles(files, limits_.maxNodeFileBytes, !settled);
-    const double now = clock_.nowMs();
-    const membership::OfferResult verdict = membershipManager_.offerVersion(drafts, now);
-    const bool waiting = verdict.outcome == OfferOutcome::incomplete && !settled;
-    incompleteSinceMs_ = !waiting ? 0 : incompleteSinceMs_ > 0 ? incompleteSinceMs_ : now;
+    const double nowMs = clock_.nowMs();
+    const membership::OfferResult result = membershipManager_.offerVersion(parsedFiles, nowMs);
+    const bool mayStillBeWritten = result.outcome == OfferOutcome::incomplete && !settled;
+    incompleteSinceMs_ = !mayStillBeWritten ? 0 : incompleteSinceMs_ > 0 ? incompleteSinceMs_ : nowMs;
 
     std::vector<std::string> lines;
-    for (const membership::Problem& problem : verdict.problems) lines.push_back(problem.text());
+    for (const membership::Problem& problem : result.problems) lines.push_back(problem.text());
     {
         const std::lock_guard lock(mutex_);
         ++status_.readCount;
-        status_.acceptedCount += verdict.outcome == OfferOutcome::accepted;
-        status_.refusedCount += verdict.outcome == OfferOutcome::refused;
-        status_.incompleteCount += verdict.outcome == OfferOutcome::incomplete;
-        if (verdict.outcome == OfferOutcome::accepted || verdict.outcome == OfferOutcome::unchanged)
+        status_.acceptedCount += result.outcome == OfferOutcome::accepted;
+        status_.refusedCount += result.outcome == OfferOutcome::refused;
+        status_.incompleteCount += result.outcome == OfferOutcome::incomplete;
+        if (result.outcome == OfferOutcome::accepted || result.outcome == OfferOutcome::unchanged)
             status_.fromKeptCopy = false;
-        if (!waiting) {
-            if (status_.refusalLines.empty() || lines != status_.refusalLines) status_.refusedSinceMs = now;
+        if (!mayStillBeWritten) {
+            if (status_.refusalLines.empty() || lines != status_.refusalLines) status_.refusedSinceMs = nowMs;
             status_.refusalLines = lines;
         }
     }
-    if (verdict.outcome == OfferOutcome::accepted) {
-        for (const std::string& text : verdict.notes) addLogMessage(false, "left over", {{"reason", text}});
+    if (result.outcome == OfferOutcome::accepted) {
+        for (const std::string& text : result.notes)
+            addLogMessage(false, "leftover part file ignored", {{"reason", text}});
         publishUpdate();
         saveKeptVersion();
     }
-    if (waiting) return;
-    std::string complaint;
-    for (const std::string& line : lines) complaint += line + '\n';
-    if (complaint != lastLoggedRefusal_) {
-        const std::uint64_t stays = membershipManager_.current() ? membershipManager_.current()->version : 0;
+    if (mayStillBeWritten) return;
+    std::string refusal;
+    for (const std::string& line : lines) refusal += line + '\n';
+    if (refusal != lastLoggedRefusal_) {
+        const std::uint64_t versionInForce =
+            membershipManager_.current() ? membershipManager_.current()->version : 0;
         for (const std::string& line : lines)
             addLogMessage(true, "not taken",
-                          {{"version", verdict.version}, {"in_force", stays}, {"reason", line}});
+                          {{"version", result.version}, {"in_force", versionInForce}, {"reason", line}});
     }
-    lastLoggedRefusal_ = std::move(complaint);
+    lastLoggedRefusal_ = std::move(refusal);
 }
 
-// The changes are worked out here, against what the loop took last; should it take one meanwhile, once more.
+// Computes the changes on this thread, relative to the membership that the loop took last, and again if the
+// loop takes another one meanwhile.
 void NodeFileMonitor::publishUpdate() {
     const membership::MembershipPtr next = membershipManager_.current();
     for (;;) {
@@ -190,10 +195,10 @@
             const std::lock_guard lock(mutex_);
             base = loopMembership_;
         }
-        MembershipUpdate handed{next, membership::diffMemberships(base.get(), *next)};
+        MembershipUpdate update{next, membership::diffMemberships(base.get(), *next)};
         const std::lock_guard lock(mutex_);
         if (loopMembership_ != base) continue;
-        pendingUpdate_ = std::move(handed);
+        pendingUpdate_ = std::move(update);
         status_.version = next->version;
         status_.activatedAtMs = next->activatedAtMs;
         status_.nodeCount = next->members.size();
@@ -209,19 +214,19 @@
     const std::string error =
         writeFileAtomically(config_.keptVersionPath, encodeKeptVersion(*membershipManager_.current()));
     if (error.empty()) return;
-    addLogMessage(true, "in force but not kept",
+    addLogMessage(true, "version in force cannot be saved",
                   {{"version", membershipManager_.current()->version}, {"reason", error}});
     const std::lock_guard lock(mutex_);
     ++status_.keepFailureCount;
 }
 
-std::optional<NodeFileMonitor::MembershipUpdate> NodeFileMonitor::takeUpdate(MembershipUpdate spent) {
+std::optional<NodeFileMonitor::MembershipUpdate> NodeFileMonitor::takeUpdate(MembershipUpdate retired) {
     const std::lock_guard lock(mutex_);
-    if (spent.membership) retiredUpdates_.push_back(std::move(spent));
-    std::optional<MembershipUpdate> out = std::move(pendingUpdate_);
+    if (retired.membership) retiredUpdates_.push_back(std::move(retired));
+    std::optional<MembershipUpdate> update = std::move(pendingUpdate_);
     pendingUpdate_.reset();
-    if (out) loopMembership_ = out->membership;
-    return out;
+    if (update) loopMembership_ = update->membership;
+    return update;
 }
 
 NodeFileStatus NodeFileMonitor::status() const {
@@ -229,11 +234,11 @@
     return status_;
 }
 
-void NodeFileMonitor::addLogMessage(bool warn, std::string message, LogFields fields) {
+void NodeFileMonitor::addLogMessage(bool isWarning, std::string message, LogFields fields) {
     {
         const std::lock_guard lock(mutex_);
         if (logMessages_.size() < limits_.maxLogLinesPerSecond * 2)
-            logMessages_.push_back({warn, std::move(message), std::move(fields)});
+            logMessages_.push_back({isWarning, std::move(message), std::move(fields)});
     }
     if (wakeLoop_) wakeLoop_();
 }
