--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -25,18 +25,20 @@
     DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
     /// Moves the watch to another address. The watch at the old address stays open until the new one has
-    /// delivered a snapshot, and its open request is then read to the end: a change counts as delivered once
-    /// the agent holds it, whether or not this program reads it.
+    /// delivered a snapshot, and its open request is then read to the end: a change counts as delivered
+    /// once the agent holds it, whether or not this program reads it.
     void switchAddress(Address address);
     /// Whether a well-formed list has been received since the start.
     [[nodiscard]] bool hasReceivedList() const { return hasReceivedList_; }
     /// Sets the callback that is run once, when the first well-formed list is received.
-    void onFirstList(std::function<void()> then) { onFirstList_ = std::move(then); }
+    void onFirstList(std::function<void()> callback) { onFirstList_ = std::move(callback); }
 
 private:
-    [[nodiscard]] std::unique_ptr<ListWatch> makeWatch(Address address, std::int64_t version, bool whole);
-    [[nodiscard]] ListWatch::NextRequest handleResponse(ListWatch& from, const std::string& text, bool cut);
-    void applyList(NodeList list, const std::vector<NodeId>& unreadable, const ListWatch& from);
+    [[nodiscard]] std::unique_ptr<ListWatch> makeWatch(Address address, std::int64_t version,
+                                                       bool wantsSnapshot);
+    [[nodiscard]] ListWatch::NextRequest handleResponse(ListWatch& watch, const std::string& text,
+                                                        bool truncated);
+    void applyList(NodeList list, const std::vector<NodeId>& unreadableIds, const ListWatch& watch);
     void retireWatch(std::unique_ptr<ListWatch> watch);
 
     event_base* base_;
--- a/src/net/lingering_closes.cpp
+++ b/src/net/lingering_closes.cpp
@@ -19,18 +19,18 @@
 
 }  // namespace
 
-LingeringCloses::ClosingConnection::ClosingConnection(LingeringCloses& o, BuffereventRef c)
-    : owner(o),
-      connection(std::move(c)),
-      deadlineMs(o.clock_.nowMs() + o.limits_.lingerTimeoutMs),
-      readEvent(event_new(o.base_, bufferevent_getfd(connection.get()), EV_READ, onEvent, this)) {
+LingeringCloses::ClosingConnection::ClosingConnection(LingeringCloses& closes, BuffereventRef ref)
+    : owner(closes),
+      connection(std::move(ref)),
+      deadlineMs(closes.clock_.nowMs() + closes.limits_.lingerTimeoutMs),
+      readEvent(event_new(closes.base_, bufferevent_getfd(connection.get()), EV_READ, onEvent, this)) {
     shutdown(bufferevent_getfd(connection.get()), SHUT_WR);
     waitForInput();
 }
 
-void LingeringCloses::ClosingConnection::onEvent(evutil_socket_t, short what, void* arg) {
+void LingeringCloses::ClosingConnection::onEvent(evutil_socket_t, short events, void* arg) {
     auto* self = static_cast<ClosingConnection*>(arg);
-    const bool expired = (what & EV_TIMEOUT) != 0 || self->owner.clock_.nowMs() >= self->deadlineMs;
+    const bool expired = (events & EV_TIMEOUT) != 0 || self->owner.clock_.nowMs() >= self->deadlineMs;
     if (expired || !self->discardInput()) return self->owner.remove(*self);
     self->waitForInput();
 }
@@ -41,12 +41,12 @@
 }
 
 bool LingeringCloses::ClosingConnection::discardInput() {
-    char some[16 * 1024];
-    const ssize_t got = recv(bufferevent_getfd(connection.get()), some, sizeof some, MSG_DONTWAIT);
-    if (got == 0) return false;
-    if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
+    char buffer[16 * 1024];
+    const ssize_t received = recv(bufferevent_getfd(connection.get()), buffer, sizeof buffer, MSG_DONTWAIT);
+    if (received == 0) return false;
+    if (received < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
     if (droppedBytes == 0) owner.counters_.add("client_bytes_dropped");
-    droppedBytes += static_cast<std::size_t>(got);
+    droppedBytes += static_cast<std::size_t>(received);
     return droppedBytes < owner.limits_.maxLingerBytes;
 }
 
--- a/src/net/lingering_closes.h
+++ b/src/net/lingering_closes.h
@@ -30,8 +30,8 @@
 
 private:
     struct ClosingConnection {
-        ClosingConnection(LingeringCloses& o, BuffereventRef c);
-        static void onEvent(evutil_socket_t, short what, void* closing);
+        ClosingConnection(LingeringCloses& closes, BuffereventRef ref);
+        static void onEvent(evutil_socket_t, short events, void* closing);
         /// Reads and discards input. Returns false if the connection is to be closed.
         [[nodiscard]] bool discardInput();
         /// Waits for more input until the deadline.
--- a/src/net/list_watch.cpp
+++ b/src/net/list_watch.cpp
@@ -5,31 +5,31 @@
 #include <utility>
 
 namespace martencove {
-ListWatch::ListWatch(event_base* base, Address address, std::int64_t version, bool whole, double firstMs,
-                     std::uint64_t seed, const Limits& limits, Counters& counters, Log& log,
-                     ResponseHandler told)
+ListWatch::ListWatch(event_base* base, Address address, std::int64_t version, bool wantsSnapshot,
+                     double initialDelayMs, std::uint64_t seed, const Limits& limits, Counters& counters,
+                     Log& log, ResponseHandler onResponse)
     : base_(base),
       address_(std::move(address)),
       version_(version),
-      wantsSnapshot_(whole),
+      wantsSnapshot_(wantsSnapshot),
       limits_(limits),
       counters_(counters),
       log_(log),
-      onResponse_(std::move(told)),
+      onResponse_(std::move(onResponse)),
       backoff_(limits.discoveryRetry.minMs, limits.discoveryRetry.maxMs, seed),
       nextRequestTimer_(base, [this] { sendRequest(); }),
       responseTimer_(base, [this] { handleFailure("discovery_silent", "no response, retrying", true); }) {
-    nextRequestTimer_.start(firstMs);
+    nextRequestTimer_.start(initialDelayMs);
 }
 
-void ListWatch::stopAfterCurrentRequest(std::function<void()> over) {
-    onFinished_ = std::move(over);
+void ListWatch::stopAfterCurrentRequest(std::function<void()> onFinished) {
+    onFinished_ = std::move(onFinished);
     if (!connection_) scheduleNext(0);
 }
 
 // Finishes the watch instead if it is to stop after the current request.
-void ListWatch::scheduleNext(double ms) {
-    if (!onFinished_) return nextRequestTimer_.start(ms);
+void ListWatch::scheduleNext(double delayMs) {
+    if (!onFinished_) return nextRequestTimer_.start(delayMs);
     isFinished_ = true;
     nextRequestTimer_.stop();
     onFinished_();
@@ -71,9 +71,9 @@
     if (evhttp_request_get_response_code(request) != 200 ||
         self->body_.size() + size > self->limits_.maxListBodyBytes)
         return;
-    const std::size_t had = self->body_.size();
-    self->body_.resize(had + size);
-    evbuffer_copyout(input, self->body_.data() + had, size);
+    const std::size_t oldSize = self->body_.size();
+    self->body_.resize(oldSize + size);
+    evbuffer_copyout(input, self->body_.data() + oldSize, size);
 }
 
 void ListWatch::onRequestDone(evhttp_request* request, void* arg) {
@@ -110,14 +110,14 @@
 // The delay for an agent on this machine, which answers at once, is limited to a share of the drain grace. A
 // service shared by all hosts is asked less often, except for one early retry after a timeout: the changes
 // that the timed-out request missed soon count as delivered.
-double ListWatch::retryDelayMs(bool silent) {
+double ListWatch::retryDelayMs(bool timedOut) {
     ++failedRequests_;
     if (limits_.drainGrace.maxRetryDelayMs > 0)
         return std::min(backoff_.nextDelayMs(), limits_.drainGrace.maxRetryDelayMs);
     // The retry does not long-poll; otherwise a connection attempt that hangs would be noticed as late as the
     // timeout was.
-    skipLongPoll_ = silent;
-    if (silent && limits_.onRequestList.maxDelayAfterTimeoutMs > 0 && timedOutRequests_++ == 0)
+    skipLongPoll_ = timedOut;
+    if (timedOut && limits_.onRequestList.maxDelayAfterTimeoutMs > 0 && timedOutRequests_++ == 0)
         return backoff_.initialDelayMs(limits_.onRequestList.maxDelayAfterTimeoutMs);
     return limits_.onRequestList.maxRetryDelayMs > 0
                ? std::min(backoff_.nextDelayMs(), limits_.onRequestList.maxRetryDelayMs)
@@ -125,14 +125,16 @@
 }
 
 // Closes the connection, handles what had arrived of the response and schedules a retry.
-void ListWatch::handleFailure(const char* counter, const char* message, bool silent) {
+void ListWatch::handleFailure(const char* counter, const char* message, bool timedOut) {
     counters_.add(counter);
     log_.warn("discovery", message);
     responseTimer_.stop();
     // Freed from the loop, since this may run in the connection's own callback.
     event_base_once(
         base_, -1, EV_TIMEOUT,
-        [](evutil_socket_t, short, void* c) { evhttp_connection_free(static_cast<evhttp_connection*>(c)); },
+        [](evutil_socket_t, short, void* connection) {
+            evhttp_connection_free(static_cast<evhttp_connection*>(connection));
+        },
         connection_.release(), nullptr);
     const std::string text = std::exchange(body_, {});
     if (!text.empty()) {
@@ -142,7 +144,7 @@
     // An agent is asked for a snapshot, which it answers at once or not at all. The silence of a long poll
     // would be noticed late.
     if (limits_.listPushed) wantsSnapshot_ = true;
-    scheduleNext(retryDelayMs(silent));
+    scheduleNext(retryDelayMs(timedOut));
 }
 
 }  // namespace martencove
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -14,7 +14,7 @@
 void callBack(evutil_socket_t, short, void* arg) { (*static_cast<std::function<void()>*>(arg))(); }
 
 template <typename Handle>
-LibeventPtr<Handle> owned(Handle* handle) {
+LibeventPtr<Handle> checkNotNull(Handle* handle) {
     if (handle == nullptr) throw std::bad_alloc();
     return LibeventPtr<Handle>(handle);
 }
@@ -26,7 +26,7 @@
                                                                              &event_config_free);
     // Without this flag timers are up to 1 ms late, which would add up over attempts and rounds.
     event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
-    LibeventPtr<event_base> base = owned(event_base_new_with_config(config.get()));
+    LibeventPtr<event_base> base = checkNotNull(event_base_new_with_config(config.get()));
     event_base_priority_init(base.get(), kPriorityCount);
     return base;
 }
@@ -52,18 +52,18 @@
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-Timer::Timer(event_base* base, std::function<void()> then)
-    : callback_(std::move(then)), event_(owned(evtimer_new(base, callBack, &callback_))) {}
+Timer::Timer(event_base* base, std::function<void()> callback)
+    : callback_(std::move(callback)), event_(checkNotNull(evtimer_new(base, callBack, &callback_))) {}
 
-void Timer::start(double ms) {
-    const timeval after = toTimeval(std::max(ms, 0.0));
-    evtimer_add(event_.get(), &after);
+void Timer::start(double delayMs) {
+    const timeval delay = toTimeval(std::max(delayMs, 0.0));
+    evtimer_add(event_.get(), &delay);
 }
 
 void Timer::stop() { evtimer_del(event_.get()); }
 
-SignalHandler::SignalHandler(event_base* base, int signal, std::function<void()> then)
-    : callback_(std::move(then)), event_(owned(evsignal_new(base, signal, callBack, &callback_))) {
+SignalHandler::SignalHandler(event_base* base, int signal, std::function<void()> callback)
+    : callback_(std::move(callback)), event_(checkNotNull(evsignal_new(base, signal, callBack, &callback_))) {
     // libevent restores this disposition when the handler is destroyed. The default action would let a
     // repeated signal kill the program during its shutdown.
     std::signal(signal, SIG_IGN);
--- a/src/net/node_connection.cpp
+++ b/src/net/node_connection.cpp
@@ -9,10 +9,10 @@
 
 namespace martencove {
 
-NodeConnection::NodeConnection(event_base* base, Address node, const Limits& limits, Counters& counters)
+NodeConnection::NodeConnection(event_base* base, Address address, const Limits& limits, Counters& counters)
     : limits_(limits),
       counters_(counters),
-      address_(std::move(node)),
+      address_(std::move(address)),
       socket_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)),
       connectOrSendTimer_(base, [this] { fail(AttemptStatus::notConnected); }),
       timeoutTimer_(base, [this] { fail(AttemptStatus::timedOut); }) {
@@ -29,8 +29,8 @@
 bool NodeConnection::isUsable() {
     if (closed_) return false;
     char byte = 0;
-    const ssize_t got = recv(bufferevent_getfd(socket_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    closed_ = got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
+    const ssize_t received = recv(bufferevent_getfd(socket_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    closed_ = received >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
     return !closed_;
 }
 
@@ -42,37 +42,38 @@
     bufferevent_disable(socket_.get(), EV_READ | EV_WRITE);
 }
 
-void NodeConnection::setReading(bool on) {
+void NodeConnection::setReading(bool enabled) {
     if (!onDone_) return;
-    on ? bufferevent_enable(socket_.get(), EV_READ) : bufferevent_disable(socket_.get(), EV_READ);
-    on ? startStallTimeout(limits_.streamStallTimeoutMs) : timeoutTimer_.stop();
+    enabled ? bufferevent_enable(socket_.get(), EV_READ) : bufferevent_disable(socket_.get(), EV_READ);
+    enabled ? startStallTimeout(limits_.streamStallTimeoutMs) : timeoutTimer_.stop();
 }
 
-void NodeConnection::startStallTimeout(double stillMs) { timeoutTimer_.start(stillMs); }
+void NodeConnection::startStallTimeout(double stallMs) { timeoutTimer_.start(stallMs); }
 
-void NodeConnection::beginRequest(const AttemptTimeouts& times, DoneCallback over) {
-    onDone_ = std::move(over);
+void NodeConnection::beginRequest(const AttemptTimeouts& timeouts, DoneCallback onDone) {
+    onDone_ = std::move(onDone);
     replySet_ = hasSentBytes_ = finalWriteStarted_ = finalWriteDone_ = false;
     const double now = clock_.nowMs();
-    deadlineMs_ = now + times.timeoutMs;
-    sendByMs_ = now + times.lastByteWithinMs;
-    timeoutTimer_.start(times.timeoutMs);
+    deadlineMs_ = now + timeouts.timeoutMs;
+    sendByMs_ = now + timeouts.lastByteWithinMs;
+    timeoutTimer_.start(timeouts.timeoutMs);
     if (std::exchange(connectStarted_, true)) {
-        if (std::isfinite(sendByMs_)) connectOrSendTimer_.start(times.lastByteWithinMs);
+        if (std::isfinite(sendByMs_)) connectOrSendTimer_.start(timeouts.lastByteWithinMs);
         return;
     }
-    startConnect(std::min(limits_.connectTimeoutMs, times.lastByteWithinMs));
+    startConnect(std::min(limits_.connectTimeoutMs, timeouts.lastByteWithinMs));
 }
 
-void NodeConnection::startConnect(double withinMs) {
-    connectOrSendTimer_.start(withinMs);
-    const sockaddr_in to = address_.socketAddress();
-    if (bufferevent_socket_connect(socket_.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0)
+void NodeConnection::startConnect(double timeoutMs) {
+    connectOrSendTimer_.start(timeoutMs);
+    const sockaddr_in target = address_.socketAddress();
+    if (bufferevent_socket_connect(socket_.get(), reinterpret_cast<const sockaddr*>(&target),
+                                   sizeof target) != 0)
         connectOrSendTimer_.start(0);  // reported from the loop, as every result is
 }
 
-void NodeConnection::preconnect(ConnectCallback then) {
-    onPreconnected_ = std::move(then);
+void NodeConnection::preconnect(ConnectCallback onPreconnected) {
+    onPreconnected_ = std::move(onPreconnected);
     if (!std::exchange(connectStarted_, true)) startConnect(limits_.connectTimeoutMs);
 }
 
@@ -89,14 +90,16 @@
     if (clock_.nowMs() > sendByMs_)
         return connectOrSendTimer_.start(0);  // reported from the loop, as every result is
     finalWriteStarted_ = true;
-    std::size_t left = 0;
+    std::size_t sentBytes = 0;
     if (evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0) {
-        const ssize_t now = send(bufferevent_getfd(socket_.get()), bytes.data(), bytes.size(), MSG_NOSIGNAL);
-        left = static_cast<std::size_t>(std::max<ssize_t>(now, 0));  // bufferevent_write() reports errors
+        const ssize_t result =
+            send(bufferevent_getfd(socket_.get()), bytes.data(), bytes.size(), MSG_NOSIGNAL);
+        // An error is reported by the bufferevent below.
+        sentBytes = static_cast<std::size_t>(std::max<ssize_t>(result, 0));
     }
-    hasSentBytes_ = left > 0;
-    if (left == bytes.size()) return onFinalByteWritten();
-    bufferevent_write(socket_.get(), bytes.data() + left, bytes.size() - left);
+    hasSentBytes_ = sentBytes > 0;
+    if (sentBytes == bytes.size()) return onFinalByteWritten();
+    bufferevent_write(socket_.get(), bytes.data() + sentBytes, bytes.size() - sentBytes);
 }
 
 void NodeConnection::onFinalByteWritten() {
@@ -104,10 +107,10 @@
     connectOrSendTimer_.stop();
 }
 
-void NodeConnection::setReply(NodeReply reply, bool keep) {
+void NodeConnection::setReply(NodeReply reply, bool keepAlive) {
     if (std::exchange(replySet_, true)) return;
     reply_ = std::move(reply);
-    keepAlive_ = keep;
+    keepAlive_ = keepAlive;
 }
 
 void NodeConnection::failInvalidReply() {
@@ -115,20 +118,21 @@
     setReply({finalWriteDone_ ? AttemptStatus::invalidReply : AttemptStatus::notConnected, {}, {}}, false);
 }
 
-void NodeConnection::onEvent(bufferevent*, short what, void* arg) {
+void NodeConnection::onEvent(bufferevent*, short events, void* arg) {
     auto* self = static_cast<NodeConnection*>(arg);
-    if ((what & BEV_EVENT_CONNECTED) != 0) {
+    if ((events & BEV_EVENT_CONNECTED) != 0) {
         self->isConnected_ = true;
         setTcpNoDelay(bufferevent_getfd(self->socket_.get()));
         self->connectOrSendTimer_.stop();
-        if (const ConnectCallback then = std::exchange(self->onPreconnected_, nullptr)) return then(true);
+        if (const ConnectCallback onPreconnected = std::exchange(self->onPreconnected_, nullptr))
+            return onPreconnected(true);
         if (!self->onDone_) return;
         if (std::isfinite(self->sendByMs_))
             self->connectOrSendTimer_.start(self->sendByMs_ - self->clock_.nowMs());
         return self->onConnected();
     }
     self->closed_ = true;
-    if ((what & BEV_EVENT_EOF) != 0 && self->onDone_ && !self->replySet_) self->onEof();
+    if ((events & BEV_EVENT_EOF) != 0 && self->onDone_ && !self->replySet_) self->onEof();
     self->fail(AttemptStatus::connectionLost);  // a reply that was read before the close still counts
 }
 
@@ -155,19 +159,20 @@
 }
 
 // A request whose last byte was not written has not been executed, so its status is notConnected.
-void NodeConnection::fail(AttemptStatus afterwards) {
+void NodeConnection::fail(AttemptStatus statusIfSent) {
     closed_ = true;
     connectOrSendTimer_.stop();
-    if (const ConnectCallback then = std::exchange(onPreconnected_, nullptr)) return then(false);
-    setReply({finalWriteDone_ ? afterwards : AttemptStatus::notConnected, {}, {}}, false);
+    if (const ConnectCallback onPreconnected = std::exchange(onPreconnected_, nullptr))
+        return onPreconnected(false);
+    setReply({finalWriteDone_ ? statusIfSent : AttemptStatus::notConnected, {}, {}}, false);
     reportDone();
 }
 
 void NodeConnection::reportDone() {
     connectOrSendTimer_.stop();
     timeoutTimer_.stop();
-    if (const DoneCallback over = std::exchange(onDone_, nullptr))
-        over(*this, std::move(reply_), keepAlive_ && !closed_);
+    if (const DoneCallback onDone = std::exchange(onDone_, nullptr))
+        onDone(*this, std::move(reply_), keepAlive_ && !closed_);
 }
 
 }  // namespace martencove
--- a/src/net/node_connection.h
+++ b/src/net/node_connection.h
@@ -83,7 +83,7 @@
 
 private:
     static void onReadable(bufferevent*, void* self) { static_cast<NodeConnection*>(self)->read(); }
-    static void onEvent(bufferevent*, short what, void* self);
+    static void onEvent(bufferevent*, short events, void* self);
     static void onOutputChanged(evbuffer* buffer, const evbuffer_cb_info* info, void* self);
     void read();
     void startConnect(double timeoutMs);
--- a/src/net/node_connection_pool.h
+++ b/src/net/node_connection_pool.h
@@ -27,8 +27,8 @@
 template <typename Wire>
 class InFlightRequest {
 public:
-    InFlightRequest(std::unique_ptr<Wire> link, NodeConnectionPool<Wire>& pool)
-        : connection_(std::move(link)), pool_(pool) {}
+    InFlightRequest(std::unique_ptr<Wire> connection, NodeConnectionPool<Wire>& pool)
+        : connection_(std::move(connection)), pool_(pool) {}
     ~InFlightRequest() {
         if (connection_) pool_.cancelRequest(*this);
     }
@@ -88,25 +88,25 @@
     /// `done` may destroy it itself. Returns null if the limit on connections is reached.
     [[nodiscard]] std::unique_ptr<InFlightRequest<Wire>> send(const Address& node,
                                                               const typename Wire::Work& work,
-                                                              const AttemptTimeouts& times,
+                                                              const AttemptTimeouts& timeouts,
                                                               DoneCallback done) {
-        std::unique_ptr<Wire> link = takeIdle(node, work);
-        const bool dials = !link;
-        if (dials) link = openConnection(node, work);
-        if (!link) return nullptr;
-        Wire& started = *link;
-        auto exchange = std::make_unique<InFlightRequest<Wire>>(std::move(link), *this);
-        started.start(work, times,
-                      [this, out = exchange.get(), done = std::move(done)](NodeConnection&, NodeReply reply,
-                                                                           bool keep) {
-                          removePending(*out);
-                          releaseConnection(std::move(out->connection_), keep);
+        std::unique_ptr<Wire> connection = takeIdle(node, work);
+        const bool isNew = !connection;
+        if (isNew) connection = openConnection(node, work);
+        if (!connection) return nullptr;
+        Wire& started = *connection;
+        auto request = std::make_unique<InFlightRequest<Wire>>(std::move(connection), *this);
+        started.start(work, timeouts,
+                      [this, raw = request.get(), done = std::move(done)](NodeConnection&, NodeReply reply,
+                                                                          bool keepAlive) {
+                          removePending(*raw);
+                          releaseConnection(std::move(raw->connection_), keepAlive);
                           done(std::move(reply));
                       });
         if constexpr (Wire::kCanPreconnect) {
-            if (dials) addPending(*exchange);
+            if (isNew) addPending(*request);
         }
-        return exchange;
+        return request;
     }
 
 private:
@@ -131,22 +131,24 @@
         return std::make_unique<Wire>(base_, node, work, limits_, counters_);
     }
 
-    void addPending(InFlightRequest<Wire>& exchange) {
+    void addPending(InFlightRequest<Wire>& request) {
         if (pendingRequests_.empty()) secondConnectTimer_.start(limits_.secondConnectDelayMs);
-        pendingRequests_.push_back({&exchange, clock_.nowMs() + limits_.secondConnectDelayMs});
+        pendingRequests_.push_back({&request, clock_.nowMs() + limits_.secondConnectDelayMs});
     }
 
-    void cancelRequest(InFlightRequest<Wire>& exchange) {
-        removePending(exchange);
-        discard(std::move(exchange.connection_));
+    void cancelRequest(InFlightRequest<Wire>& request) {
+        removePending(request);
+        discard(std::move(request.connection_));
     }
 
-    void removePending(const InFlightRequest<Wire>& exchange) {
-        std::erase_if(pendingRequests_, [&](const PendingRequest& w) { return w.request == &exchange; });
+    void removePending(const InFlightRequest<Wire>& request) {
+        std::erase_if(pendingRequests_,
+                      [&](const PendingRequest& pending) { return pending.request == &request; });
     }
     void removeConnectedPending() {
-        std::erase_if(pendingRequests_,
-                      [](const PendingRequest& w) { return w.request->connection_->isConnected(); });
+        std::erase_if(pendingRequests_, [](const PendingRequest& pending) {
+            return pending.request->connection_->isConnected();
+        });
     }
 
     // Serves pending requests once a released connection may be reused. A timer that is already running is
@@ -158,19 +160,19 @@
     // Gives idle connections to requests whose own connection is not established, the oldest request first.
     void servePending() {
         removeConnectedPending();
-        for (auto at = pendingRequests_.begin(); at != pendingRequests_.end();) {
-            InFlightRequest<Wire>& exchange = *at->request;
+        for (auto pending = pendingRequests_.begin(); pending != pendingRequests_.end();) {
+            InFlightRequest<Wire>& request = *pending->request;
             std::unique_ptr<Wire> idle =
-                takeIdle(exchange.connection_->address(), exchange.connection_->pendingRequest());
+                takeIdle(request.connection_->address(), request.connection_->pendingRequest());
             if (!idle) {
-                ++at;
+                ++pending;
                 continue;
             }
-            at = pendingRequests_.erase(at);
+            pending = pendingRequests_.erase(pending);
             counters_.add("node_connection_other");
-            std::unique_ptr<Wire> late = std::exchange(exchange.connection_, std::move(idle));
-            late->transferRequest(*exchange.connection_);
-            preconnect(std::move(late));
+            std::unique_ptr<Wire> replaced = std::exchange(request.connection_, std::move(idle));
+            replaced->transferRequest(*request.connection_);
+            preconnect(std::move(replaced));
         }
         if (!pendingRequests_.empty() && !idleConnections_.empty() &&
             idleConnections_.back().idleSinceMs > clock_.nowMs() - limits_.nodeReuseDelayMs)
@@ -181,33 +183,34 @@
     void startSecondConnects() {
         removeConnectedPending();
         const double now = clock_.nowMs();
-        for (PendingRequest& w : pendingRequests_) {
-            if (w.secondConnectStarted) continue;
-            if (w.secondConnectAtMs > now) return secondConnectTimer_.start(w.secondConnectAtMs - now);
-            w.secondConnectStarted = true;
-            const Wire& late = *w.request->connection_;
-            auto link = connectionCount_ < limits_.maxNodeConnections
-                            ? openConnection(late.address(), late.pendingRequest())
-                            : nullptr;
-            if (!link) continue;
+        for (PendingRequest& pending : pendingRequests_) {
+            if (pending.secondConnectStarted) continue;
+            if (pending.secondConnectAtMs > now)
+                return secondConnectTimer_.start(pending.secondConnectAtMs - now);
+            pending.secondConnectStarted = true;
+            const Wire& slow = *pending.request->connection_;
+            auto connection = connectionCount_ < limits_.maxNodeConnections
+                                  ? openConnection(slow.address(), slow.pendingRequest())
+                                  : nullptr;
+            if (!connection) continue;
             counters_.add("node_connection_again");
-            preconnect(std::move(link));
+            preconnect(std::move(connection));
         }
         if (!pendingRequests_.empty()) secondConnectTimer_.start(limits_.secondConnectDelayMs);
     }
 
     // Connects without a request and adds the connection to the idle ones.
-    void preconnect(std::unique_ptr<Wire> link) {
-        Wire* const at = link.get();
-        preconnecting_.push_back(std::move(link));
-        at->preconnect([this, at](bool up) {
-            const auto here = std::find_if(preconnecting_.begin(), preconnecting_.end(),
-                                           [at](const auto& coming) { return coming.get() == at; });
-            std::unique_ptr<Wire> come = std::move(*here);
-            preconnecting_.erase(here);
-            if (!up) return discard(std::move(come));
+    void preconnect(std::unique_ptr<Wire> connection) {
+        Wire* const raw = connection.get();
+        preconnecting_.push_back(std::move(connection));
+        raw->preconnect([this, raw](bool connected) {
+            const auto found = std::find_if(preconnecting_.begin(), preconnecting_.end(),
+                                            [raw](const auto& candidate) { return candidate.get() == raw; });
+            std::unique_ptr<Wire> done = std::move(*found);
+            preconnecting_.erase(found);
+            if (!connected) return discard(std::move(done));
             // Usable at once: no request was sent on it that could be answered late.
-            addIdle(std::move(come), clock_.nowMs() - limits_.nodeReuseDelayMs);
+            addIdle(std::move(done), clock_.nowMs() - limits_.nodeReuseDelayMs);
             servePending();
         });
     }
@@ -215,12 +218,12 @@
     // Takes the most recently used connection, so that the others stay idle and are retired. A connection is
     // not reused right after a response, since stray bytes from the node may follow it.
     std::unique_ptr<Wire> takeIdle(const Address& node, const typename Wire::Work& work) {
-        const auto ours = idleByAddress_.find(node);
-        if (ours == idleByAddress_.end()) return nullptr;
-        const double rested = clock_.nowMs() - limits_.nodeReuseDelayMs;
-        for (auto at = ours->second.rbegin(); at != ours->second.rend(); ++at) {
-            const IdleIterator idle = *at;
-            if (idle->idleSinceMs > rested || !idle->connection->matches(node, work) ||
+        const auto idleOfNode = idleByAddress_.find(node);
+        if (idleOfNode == idleByAddress_.end()) return nullptr;
+        const double reusableBeforeMs = clock_.nowMs() - limits_.nodeReuseDelayMs;
+        for (auto entry = idleOfNode->second.rbegin(); entry != idleOfNode->second.rend(); ++entry) {
+            const IdleIterator idle = *entry;
+            if (idle->idleSinceMs > reusableBeforeMs || !idle->connection->matches(node, work) ||
                 !idle->connection->isUsable())
                 continue;
             return removeIdle(idle);
@@ -228,32 +231,32 @@
         return nullptr;
     }
 
-    void releaseConnection(std::unique_ptr<Wire> link, bool keep) {
-        if (!keep) return discard(std::move(link));
-        this->addIdle(std::move(link), clock_.nowMs());
+    void releaseConnection(std::unique_ptr<Wire> connection, bool keepAlive) {
+        if (!keepAlive) return discard(std::move(connection));
+        this->addIdle(std::move(connection), clock_.nowMs());
         if (!pendingRequests_.empty()) scheduleServePending();
     }
 
-    void addIdle(std::unique_ptr<Wire> link, double sinceMs) {
-        const Address node = link->address();
-        idleConnections_.push_back({std::move(link), sinceMs});
+    void addIdle(std::unique_ptr<Wire> connection, double sinceMs) {
+        const Address node = connection->address();
+        idleConnections_.push_back({std::move(connection), sinceMs});
         idleByAddress_[node].push_back(std::prev(idleConnections_.end()));
     }
 
     std::unique_ptr<Wire> removeIdle(IdleIterator idle) {
-        std::unique_ptr<Wire> link = std::move(idle->connection);
-        const auto ours = idleByAddress_.find(link->address());
-        std::erase(ours->second, idle);
-        if (ours->second.empty()) idleByAddress_.erase(ours);
+        std::unique_ptr<Wire> connection = std::move(idle->connection);
+        const auto idleOfNode = idleByAddress_.find(connection->address());
+        std::erase(idleOfNode->second, idle);
+        if (idleOfNode->second.empty()) idleByAddress_.erase(idleOfNode);
         idleConnections_.erase(idle);
-        return link;
+        return connection;
     }
 
     // Closes the connection in the next turn of the loop, since this may run in its own callback.
-    void discard(std::unique_ptr<Wire> link) {
-        link->cancel();
+    void discard(std::unique_ptr<Wire> connection) {
+        connection->cancel();
         --connectionCount_;
-        discarded_.push_back(std::move(link));
+        discarded_.push_back(std::move(connection));
         discardTimer_.start(0);
     }
 
@@ -268,10 +271,11 @@
 
     // Closes idle connections before the nodes do, since a request that is sent just then would fail.
     void sweep() {
-        const double before = clock_.nowMs() - limits_.nodeIdleTimeoutMs * limits_.idleRetireFraction;
+        const double retireBeforeMs = clock_.nowMs() - limits_.nodeIdleTimeoutMs * limits_.idleRetireFraction;
         for (IdleIterator idle = idleConnections_.begin(); idle != idleConnections_.end();) {
-            const IdleIterator now = idle++;
-            if (now->connection->isClosed() || now->idleSinceMs < before) discard(removeIdle(now));
+            const IdleIterator current = idle++;
+            if (current->connection->isClosed() || current->idleSinceMs < retireBeforeMs)
+                discard(removeIdle(current));
         }
         sweepTimer_.start(limits_.sweepIntervalMs);
     }
