--- a/src/etcd/messages.cpp
+++ b/src/etcd/messages.cpp
@@ -12,7 +12,8 @@
 
 constexpr std::string_view kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-/// The first key after all that begin with a prefix: its last byte that can grow is one more.
+/// Returns the first key after all keys with the prefix: the prefix with its last byte below 0xff
+/// incremented.
 std::string endOf(std::string prefix) {
     while (!prefix.empty() && prefix.back() == '\xff') prefix.pop_back();
     if (prefix.empty()) return std::string(1, '\0');  // all keys
@@ -20,7 +21,7 @@
     return prefix;
 }
 
-// 64-bit numbers come as strings, as protobuf's JSON has them.
+// Protobuf's JSON encoding represents 64-bit numbers as strings.
 std::int64_t wide(const Json& value, const char* name) {
     if (!value.is_string()) return getInt64(value, name);
     const auto text = value.get<std::string>();
--- a/src/etcd/source.cpp
+++ b/src/etcd/source.cpp
@@ -18,8 +18,8 @@
       onNodesChanged_(std::move(told)),
       backoff_(limits.etcdRetry.minMs, limits.etcdRetry.maxMs, seed),
       requestTimer_(base, [this] { sendRequest(); }),
-      // A watch says nothing for as long as nothing changes, and so does a dead machine: it is asked for anew
-      // now and then, from the next revision on, which loses nothing.
+      // A watch without changes looks like one of a dead host, so it is restarted after some time. It
+      // continues from the next revision, so that no change is lost.
       responseTimer_(base, [this] { scheduleRequest(0); }) {
     requestTimer_.start(backoff_.initialDelayMs(limits.etcdRetry.initialMs));
 }
@@ -28,7 +28,7 @@
     connection_.reset(
         evhttp_connection_base_new(base_, nullptr, config_.address.host.c_str(), config_.address.port));
     evhttp_connection_set_retries(connection_.get(), 0);
-    evhttp_connection_set_timeout(connection_.get(), 120);  // quiet_ comes long before
+    evhttp_connection_set_timeout(connection_.get(), 120);  // s; responseTimer_ fires earlier
     evhttp_connection_set_max_body_size(connection_.get(), static_cast<ev_ssize_t>(limits_.maxListBodyBytes));
     evhttp_connection_set_max_headers_size(connection_.get(),
                                            static_cast<ev_ssize_t>(limits_.maxHeaderBytes));
@@ -59,14 +59,14 @@
     if (self->isWatchRequest_ && self->revision_ > 0) self->handleWatchMessages();
 }
 
-// A range's answer is whole; a watch's ends only when it breaks.
+// The response to a range request is complete here. A watch ends only when its connection breaks.
 void NodeSource::onRequestDone(evhttp_request* request, void* arg) {
     auto* self = static_cast<NodeSource*>(arg);
     const bool good = request != nullptr && evhttp_request_get_response_code(request) == 200;
     if (good && !self->isWatchRequest_) return self->handleRangeResponse();
     if (!good) {
         self->counters_.add("etcd_failed");
-        self->log_.warn("etcd", "call failed");
+        self->log_.warn("etcd", "request failed");
     }
     self->scheduleRequest(self->backoff_.nextDelayMs());
 }
@@ -88,7 +88,7 @@
             const std::string line = responseBuffer_.substr(0, end);
             responseBuffer_.erase(0, end + 1);
             const Update update = decodeWatch(line);
-            if (update.canceled) {  // its revisions are gone: the whole list again
+            if (update.canceled) {  // the revision was compacted: request a snapshot
                 revision_ = 0;
                 return scheduleRequest(0);
             }
@@ -96,13 +96,13 @@
             responseTimer_.start(limits_.etcdWatchIdleTimeoutMs);
             if (!update.pairs.empty()) applyUpdate(update, false);
         }
-        if (responseBuffer_.size() > limits_.maxListBodyBytes) rejectResponse("a message without end");
+        if (responseBuffer_.size() > limits_.maxListBodyBytes) rejectResponse("message too long");
     } catch (const FieldError& error) {
         rejectResponse(error.what());
     }
 }
 
-// All of an update or nothing of it.
+// Applies an update entirely or, if an entry is invalid, not at all.
 void NodeSource::applyUpdate(const Update& update, bool whole) {
     std::map<std::string, NodeEntry> nodes = whole ? std::map<std::string, NodeEntry>{} : nodesByKey_;
     NodeList list{update.revision, whole, {}};
@@ -121,17 +121,17 @@
     onNodesChanged_(list);
 }
 
-// The whole list again: what a change that cannot be read meant is not known.
+// Requests a snapshot, since the meaning of an unreadable change is unknown.
 void NodeSource::rejectResponse(const std::string& why) {
     counters_.add("etcd_bad");
-    log_.warn("etcd", "answer ignored", {{"reason", why}});
+    log_.warn("etcd", "ignored invalid response", {{"reason", why}});
     revision_ = 0;
     scheduleRequest(limits_.etcdMalformedRetryMs);
 }
 
 void NodeSource::scheduleRequest(double afterMs) {
     responseTimer_.stop();
-    // Not within the connection's own callback; call() frees it.
+    // Sent from the timer, since sendRequest() frees the connection and this may run in its own callback.
     requestTimer_.start(afterMs);
 }
 
--- a/src/etcd/source.h
+++ b/src/etcd/source.h
@@ -1,5 +1,6 @@
-// Storage nodes from etcd: one key for each under a prefix, its value an entry as discovery would write it. A
-// range brings the whole list, then a watch from the next revision brings each change.
+// Reads the storage nodes from etcd. Each node has a key under a prefix, whose value is an entry in the
+// format of the discovery service. A range request reads the whole list; a watch from the next revision reads
+// the changes.
 #pragma once
 
 #include <functional>
@@ -16,10 +17,12 @@
 
 namespace martencove::etcd {
 
+/// Keeps the node list up to date and reports its changes. Requests again after failures, with a backoff.
 class NodeSource {
 public:
+    /// `onNodesChanged` gets a snapshot first, then lists of changed nodes.
     NodeSource(event_base* base, EtcdConfig config, std::uint64_t seed, const Limits& limits,
-               Counters& counters, Log& log, std::function<void(const NodeList&)> told);
+               Counters& counters, Log& log, std::function<void(const NodeList&)> onNodesChanged);
     NodeSource(const NodeSource&) = delete;
     NodeSource& operator=(const NodeSource&) = delete;
 
@@ -29,10 +32,10 @@
     void sendRequest();
     void handleRangeResponse();
     void handleWatchMessages();
-    /// Tells a change; `whole`: all there is, and what is not among it is gone.
-    void applyUpdate(const struct Update& update, bool whole);
-    void rejectResponse(const std::string& why);
-    void scheduleRequest(double afterMs);
+    /// Applies and reports an update. `isSnapshot`: nodes that are not in it are gone.
+    void applyUpdate(const struct Update& update, bool isSnapshot);
+    void rejectResponse(const std::string& reason);
+    void scheduleRequest(double delayMs);
 
     event_base* base_;
     EtcdConfig config_;
@@ -41,11 +44,11 @@
     Log& log_;
     std::function<void(const NodeList&)> onNodesChanged_;
     LibeventPtr<evhttp_connection> connection_;
-    std::map<std::string, NodeEntry> nodesByKey_;  // by key
-    std::int64_t revision_ = 0;                    // of the last change told; 0: the whole list is needed
-    bool isWatchRequest_ = false;                  // the present call is a watch
-    std::string responseBuffer_;                   // of the present call's answer
-    Backoff backoff_;                              // between failed calls
+    std::map<std::string, NodeEntry> nodesByKey_;  // by etcd key
+    std::int64_t revision_ = 0;                    // of the last update; 0: a snapshot is needed
+    bool isWatchRequest_ = false;                  // the current request is a watch
+    std::string responseBuffer_;                   // unhandled part of the current response
+    Backoff backoff_;                              // between failed requests
     Timer requestTimer_;
     Timer responseTimer_;
 };
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -21,11 +21,11 @@
 
 constexpr const char* kEndpoints = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 
-/// Resources by cluster, as their bytes.
+/// The serialized resources by cluster name.
 using Snapshot = std::map<std::string, std::string>;
 
-// Proxies turn to a degraded endpoint only where the healthy ones do not suffice: a shard's work goes to the
-// node that the decisions choose.
+// Proxies use degraded endpoints only if the healthy ones do not suffice. So the work of a shard goes to the
+// node that is chosen for new work.
 endpoint::HealthStatus healthOf(const NodeStatus& view) {
     if (view.node.state == NodeState::draining) return endpoint::DRAINING;
     if (view.unresponsive) return endpoint::UNHEALTHY;
@@ -46,7 +46,8 @@
         address->set_address(dial->host);
         address->set_port_value(dial->port);
         out->set_health_status(healthOf(view));
-        // In steps of an eighth, so that what is learned of a rate does not make a new version each round.
+        // Rounded to powers of two in steps of an eighth of the exponent. Otherwise small changes of the
+        // measured rate would produce a new version each round.
         const double step = std::round(std::log2(std::max(view.unitsPerSecond, 1.0)) * 8) / 8;
         out->mutable_load_balancing_weight()->set_value(
             static_cast<std::uint32_t>(std::lround(std::exp2(step))));
@@ -60,23 +61,25 @@
 
 class AdsStream;
 
-/// The streams and what they are told. Its members may be called from any thread.
+/// The ADS service: its streams and the current snapshot. Members may be called from any thread.
 class AdsService final : public discovery::AggregatedDiscoveryService::CallbackService {
 public:
     explicit AdsService(std::size_t most) : maxStreams_(most) {}
     grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse>*
     StreamAggregatedResources(grpc::CallbackServerContext*) override;
+    /// Replaces the snapshot and sends the changes to all streams.
     void publish(Snapshot snapshot);
-    /// Both under `mutex`.
+    /// These three require `mutex` to be held.
     const Snapshot& snapshot() const { return snapshot_; }
     std::uint64_t version() const { return version_; }
     void remove(AdsStream* stream) { streams_.erase(stream); }
 
+    /// Returns the counters since the last call.
     std::map<std::string, std::uint64_t> takeCounts() {
         const std::lock_guard lock(mutex);
         return std::exchange(counts_, {});
     }
-    void incrementCounter(const char* name) { ++counts_[name]; }  ///< under `mutex`
+    void incrementCounter(const char* name) { ++counts_[name]; }  ///< requires `mutex`
 
     std::unique_ptr<grpc::Server> server;
     std::mutex mutex;
@@ -89,7 +92,7 @@
     std::map<std::string, std::uint64_t> counts_;
 };
 
-/// One proxy's stream: it names clusters, is told of them, and again when one of them changes.
+/// The stream of one proxy. The proxy subscribes to clusters and receives them, again whenever one changes.
 class AdsStream final
     : public grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse> {
 public:
@@ -98,7 +101,7 @@
     void OnReadDone(bool ok) override {
         const std::lock_guard lock(streams_.mutex);
         if (!ok) return finishStream();
-        if (finished_) return;  // called off meanwhile: nothing more may be started
+        if (finished_) return;  // cancelled: no operation may be started
         handleRequest();
         sendIfChanged();
         StartRead(&request_);
@@ -121,13 +124,14 @@
         delete this;
     }
 
-    /// Sends what has changed of what was asked for, one answer at a time. Under the mutex, as all below.
+    /// Sends the subscribed clusters if one has changed, one response at a time. This and the private
+    /// functions require the mutex.
     void sendIfChanged() {
         if (writing_ || finished_ || resourceNames_.empty()) return;
         Snapshot due;
         for (const std::string& name : resourceNames_) {
             const auto at = streams_.snapshot().find(name);
-            // A cluster that is not there (any more) has no endpoints.
+            // An unknown cluster is sent without endpoints.
             endpoint::ClusterLoadAssignment none;
             none.set_cluster_name(name);
             due[name] = at == streams_.snapshot().end() ? none.SerializeAsString() : at->second;
@@ -152,10 +156,10 @@
 private:
     void handleRequest() {
         streams_.incrementCounter("xds_request");
-        if (request_.type_url() != kEndpoints) return;  // a kind that is not offered: it waits in vain
+        if (request_.type_url() != kEndpoints) return;  // unsupported types get no response
         if (!request_.response_nonce().empty() && request_.response_nonce() != nonce_)
-            return;  // a newer one is out
-        // A proxy that could not use an answer keeps what it had; it is told again when something changes.
+            return;  // refers to an outdated response
+        // A proxy that rejects a response keeps its last state; the next response is sent on the next change.
         if (request_.has_error_detail()) streams_.incrementCounter("xds_nack");
         resourceNames_ = {request_.resource_names().begin(), request_.resource_names().end()};
     }
@@ -176,7 +180,7 @@
 
 namespace {
 
-/// A stream over the bound.
+/// Rejects a stream beyond the limit.
 class TurnedAway final
     : public grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse> {
 public:
@@ -191,7 +195,7 @@
     const std::lock_guard lock(mutex);
     if (streams_.size() >= maxStreams_) {
         incrementCounter("xds_turned_away");
-        return new TurnedAway;  // owns itself, as gRPC's reactors do
+        return new TurnedAway;  // deletes itself in OnDone()
     }
     incrementCounter("xds_stream");
     auto* stream = new AdsStream(*this);
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -1,5 +1,5 @@
-// Hands the module's view of the storage nodes to other proxies: endpoints (EDS) over one aggregated stream
-// (ADS). A cluster is a shard, by the name "shard-N".
+// xDS server that offers the state of the storage nodes to other proxies: endpoints (EDS) over the aggregated
+// discovery service (ADS). Each shard is a cluster named "shard-N".
 #pragma once
 
 #include <functional>
@@ -17,13 +17,14 @@
 
 class AdsService;
 
-/// gRPC serves the streams on threads of its own; the view reaches them as a snapshot, and nothing comes back
-/// but counts.
+/// Publishes a snapshot of the node states at an interval. gRPC serves the streams on its own threads, which
+/// read the snapshots and return only counters.
 class Server {
 public:
-    /// Throws std::runtime_error where `listen` cannot be bound.
+    /// Listens on `listen` and reads the node states from `getNodeStatuses`. Throws std::runtime_error if the
+    /// address cannot be bound.
     Server(event_base* base, const Address& listen, const Limits& limits, Counters& counters,
-           std::function<std::vector<NodeStatus>()> view);
+           std::function<std::vector<NodeStatus>()> getNodeStatuses);
     ~Server();
     Server(const Server&) = delete;
     Server& operator=(const Server&) = delete;
