--- a/src/etcd/messages.cpp
+++ b/src/etcd/messages.cpp
@@ -14,7 +14,7 @@
 
 /// Returns the first key after all keys with the prefix: the prefix with its last byte below 0xff
 /// incremented.
-std::string endOf(std::string prefix) {
+std::string prefixEnd(std::string prefix) {
     while (!prefix.empty() && prefix.back() == '\xff') prefix.pop_back();
     if (prefix.empty()) return std::string(1, '\0');  // all keys
     prefix.back() = static_cast<char>(static_cast<unsigned char>(prefix.back()) + 1);
@@ -22,7 +22,7 @@
 }
 
 // Protobuf's JSON encoding represents 64-bit numbers as strings.
-std::int64_t wide(const Json& value, const char* name) {
+std::int64_t parseInt64(const Json& value, const char* name) {
     if (!value.is_string()) return getInt64(value, name);
     const auto text = value.get<std::string>();
     char* end = nullptr;
@@ -30,56 +30,57 @@
     if (text.empty() || *end != '\0') throwFieldError(name, "not a whole number");
     return number;
 }
-std::string bytes(const Json& object, const char* name) {
+std::string decodeBytes(const Json& object, const char* name) {
     const auto decoded = fromBase64(getString(object, name, ""));
     if (!decoded) throwFieldError(name, "not base64");
     return *decoded;
 }
-Json parse(const std::string& text) {
+Json parseObject(const std::string& text) {
     Json json = Json::parse(text, nullptr, false);
     if (!json.is_object()) throwFieldError("answer", "not a JSON object");
     return json;
 }
-std::int64_t revisionOf(const Json& json) {
+std::int64_t decodeRevision(const Json& json) {
     const Json& header = requireField(json, "header");
-    return wide(requireField(header, "revision"), "revision");
+    return parseInt64(requireField(header, "revision"), "revision");
 }
 
 }  // namespace
 
 std::string makeRangeRequest(const std::string& prefix) {
-    return Json{{"key", toBase64(prefix)}, {"range_end", toBase64(endOf(prefix))}}.dump();
+    return Json{{"key", toBase64(prefix)}, {"range_end", toBase64(prefixEnd(prefix))}}.dump();
 }
 std::string makeWatchRequest(const std::string& prefix, std::int64_t startRevision) {
     return Json{{"create_request",
                  {{"key", toBase64(prefix)},
-                  {"range_end", toBase64(endOf(prefix))},
+                  {"range_end", toBase64(prefixEnd(prefix))},
                   {"start_revision", std::to_string(startRevision)}}}}
         .dump();
 }
 
 Update decodeRange(const std::string& text) {
-    const Json json = parse(text);
+    const Json json = parseObject(text);
     Update out;
-    out.revision = revisionOf(json);
+    out.revision = decodeRevision(json);
     if (const Json* pairs = findField(json, "kvs")) {
         for (const Json& pair : getArray(*pairs, "kvs"))
-            out.pairs.push_back({bytes(pair, "key"), bytes(pair, "value")});
+            out.pairs.push_back({decodeBytes(pair, "key"), decodeBytes(pair, "value")});
     }
     return out;
 }
 
 Update decodeWatch(const std::string& text) {
-    const Json json = parse(text);
+    const Json json = parseObject(text);
     const Json& result = requireField(json, "result");
     Update out;
-    out.revision = revisionOf(result);
+    out.revision = decodeRevision(result);
     out.canceled = getBool(result, "canceled", false);
     if (const Json* events = findField(result, "events")) {
         for (const Json& event : getArray(*events, "events")) {
             const Json& pair = requireField(event, "kv");
             const bool deleted = limedrum::fields::getString(event, "type", "PUT") == "DELETE";
-            out.pairs.push_back({bytes(pair, "key"), deleted ? "" : bytes(pair, "value"), deleted});
+            out.pairs.push_back(
+                {decodeBytes(pair, "key"), deleted ? "" : decodeBytes(pair, "value"), deleted});
         }
     }
     return out;
--- a/src/etcd/source.cpp
+++ b/src/etcd/source.cpp
@@ -9,13 +9,13 @@
 using limedrum::fields::FieldError;
 
 NodeSource::NodeSource(event_base* base, EtcdConfig config, std::uint64_t seed, const Limits& limits,
-                       Counters& counters, Log& log, std::function<void(const NodeList&)> told)
+                       Counters& counters, Log& log, std::function<void(const NodeList&)> onNodesChanged)
     : base_(base),
       config_(std::move(config)),
       limits_(limits),
       counters_(counters),
       log_(log),
-      onNodesChanged_(std::move(told)),
+      onNodesChanged_(std::move(onNodesChanged)),
       backoff_(limits.etcdRetry.minMs, limits.etcdRetry.maxMs, seed),
       requestTimer_(base, [this] { sendRequest(); }),
       // A watch without changes looks like one of a dead host, so it is restarted after some time. It
@@ -37,15 +37,15 @@
     evhttp_request_set_chunked_cb(request, onChunk);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", config_.address.toString().c_str());
     evhttp_add_header(evhttp_request_get_output_headers(request), "Content-Type", "application/json");
-    const bool whole = revision_ == 0;
-    isWatchRequest_ = !whole;
+    const bool needsSnapshot = revision_ == 0;
+    isWatchRequest_ = !needsSnapshot;
     const std::string body =
-        whole ? makeRangeRequest(config_.prefix) : makeWatchRequest(config_.prefix, revision_ + 1);
+        needsSnapshot ? makeRangeRequest(config_.prefix) : makeWatchRequest(config_.prefix, revision_ + 1);
     evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
-    counters_.add(whole ? "etcd_range" : "etcd_watch");
-    responseTimer_.start(whole ? limits_.longPollSlackMs : limits_.etcdWatchIdleTimeoutMs);
+    counters_.add(needsSnapshot ? "etcd_range" : "etcd_watch");
+    responseTimer_.start(needsSnapshot ? limits_.longPollSlackMs : limits_.etcdWatchIdleTimeoutMs);
     if (evhttp_make_request(connection_.get(), request, EVHTTP_REQ_POST,
-                            whole ? "/v3/kv/range" : "/v3/watch") != 0)
+                            needsSnapshot ? "/v3/kv/range" : "/v3/watch") != 0)
         scheduleRequest(backoff_.nextDelayMs());
 }
 
@@ -53,18 +53,18 @@
     auto* self = static_cast<NodeSource*>(arg);
     if (evhttp_request_get_response_code(request) != 200) return;
     evbuffer* body = evhttp_request_get_input_buffer(request);
-    std::string more(evbuffer_get_length(body), '\0');
-    evbuffer_copyout(body, more.data(), more.size());
-    self->responseBuffer_ += more;
+    std::string chunk(evbuffer_get_length(body), '\0');
+    evbuffer_copyout(body, chunk.data(), chunk.size());
+    self->responseBuffer_ += chunk;
     if (self->isWatchRequest_ && self->revision_ > 0) self->handleWatchMessages();
 }
 
 // The response to a range request is complete here. A watch ends only when its connection breaks.
 void NodeSource::onRequestDone(evhttp_request* request, void* arg) {
     auto* self = static_cast<NodeSource*>(arg);
-    const bool good = request != nullptr && evhttp_request_get_response_code(request) == 200;
-    if (good && !self->isWatchRequest_) return self->handleRangeResponse();
-    if (!good) {
+    const bool succeeded = request != nullptr && evhttp_request_get_response_code(request) == 200;
+    if (succeeded && !self->isWatchRequest_) return self->handleRangeResponse();
+    if (!succeeded) {
         self->counters_.add("etcd_failed");
         self->log_.warn("etcd", "request failed");
     }
@@ -103,16 +103,16 @@
 }
 
 // Applies an update entirely or, if an entry is invalid, not at all.
-void NodeSource::applyUpdate(const Update& update, bool whole) {
-    std::map<std::string, NodeEntry> nodes = whole ? std::map<std::string, NodeEntry>{} : nodesByKey_;
-    NodeList list{update.revision, whole, {}};
+void NodeSource::applyUpdate(const Update& update, bool isSnapshot) {
+    std::map<std::string, NodeEntry> nodes = isSnapshot ? std::map<std::string, NodeEntry>{} : nodesByKey_;
+    NodeList list{update.revision, isSnapshot, {}};
     for (const KeyValue& pair : update.pairs) {
         if (!pair.deleted) {
             list.nodes.push_back(nodes[pair.key] = decodeNodeEntry(pair.value));
-        } else if (const auto at = nodes.find(pair.key); at != nodes.end()) {
-            list.nodes.push_back(at->second);
+        } else if (const auto removed = nodes.find(pair.key); removed != nodes.end()) {
+            list.nodes.push_back(removed->second);
             list.nodes.back().state = NodeState::gone;
-            nodes.erase(at);
+            nodes.erase(removed);
         }
     }
     nodesByKey_ = std::move(nodes);
@@ -122,17 +122,17 @@
 }
 
 // Requests a snapshot, since the meaning of an unreadable change is unknown.
-void NodeSource::rejectResponse(const std::string& why) {
+void NodeSource::rejectResponse(const std::string& reason) {
     counters_.add("etcd_bad");
-    log_.warn("etcd", "ignored invalid response", {{"reason", why}});
+    log_.warn("etcd", "ignored invalid response", {{"reason", reason}});
     revision_ = 0;
     scheduleRequest(limits_.etcdMalformedRetryMs);
 }
 
-void NodeSource::scheduleRequest(double afterMs) {
+void NodeSource::scheduleRequest(double delayMs) {
     responseTimer_.stop();
     // Sent from the timer, since sendRequest() frees the connection and this may run in its own callback.
-    requestTimer_.start(afterMs);
+    requestTimer_.start(delayMs);
 }
 
 }  // namespace martencove::etcd
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -26,31 +26,32 @@
 
 // Proxies use degraded endpoints only if the healthy ones do not suffice. So the work of a shard goes to the
 // node that is chosen for new work.
-endpoint::HealthStatus healthOf(const NodeStatus& view) {
-    if (view.node.state == NodeState::draining) return endpoint::DRAINING;
-    if (view.unresponsive) return endpoint::UNHEALTHY;
-    return view.receivesNewWork ? endpoint::HEALTHY : endpoint::DEGRADED;
+endpoint::HealthStatus healthStatus(const NodeStatus& status) {
+    if (status.node.state == NodeState::draining) return endpoint::DRAINING;
+    if (status.unresponsive) return endpoint::UNHEALTHY;
+    return status.receivesNewWork ? endpoint::HEALTHY : endpoint::DEGRADED;
 }
 
-Snapshot snapshotOf(const std::vector<NodeStatus>& nodes) {
+Snapshot makeSnapshot(const std::vector<NodeStatus>& nodes) {
     std::map<std::string, endpoint::ClusterLoadAssignment> clusters;
-    for (const NodeStatus& view : nodes) {
-        const auto dial = parseAddress(view.node.address);
-        if (!dial) continue;
-        const std::string name = "shard-" + std::to_string(view.node.shard);
+    for (const NodeStatus& status : nodes) {
+        const auto nodeAddress = parseAddress(status.node.address);
+        if (!nodeAddress) continue;
+        const std::string name = "shard-" + std::to_string(status.node.shard);
         auto& cluster = clusters[name];
         cluster.set_cluster_name(name);
-        auto* out = (cluster.endpoints_size() == 0 ? cluster.add_endpoints() : cluster.mutable_endpoints(0))
-                        ->add_lb_endpoints();
-        auto* address = out->mutable_endpoint()->mutable_address()->mutable_socket_address();
-        address->set_address(dial->host);
-        address->set_port_value(dial->port);
-        out->set_health_status(healthOf(view));
+        auto* lbEndpoint =
+            (cluster.endpoints_size() == 0 ? cluster.add_endpoints() : cluster.mutable_endpoints(0))
+                ->add_lb_endpoints();
+        auto* address = lbEndpoint->mutable_endpoint()->mutable_address()->mutable_socket_address();
+        address->set_address(nodeAddress->host);
+        address->set_port_value(nodeAddress->port);
+        lbEndpoint->set_health_status(healthStatus(status));
         // Rounded to powers of two in steps of an eighth of the exponent. Otherwise small changes of the
         // measured rate would produce a new version each round.
-        const double step = std::round(std::log2(std::max(view.unitsPerSecond, 1.0)) * 8) / 8;
-        out->mutable_load_balancing_weight()->set_value(
-            static_cast<std::uint32_t>(std::lround(std::exp2(step))));
+        const double exponent = std::round(std::log2(std::max(status.unitsPerSecond, 1.0)) * 8) / 8;
+        lbEndpoint->mutable_load_balancing_weight()->set_value(
+            static_cast<std::uint32_t>(std::lround(std::exp2(exponent))));
     }
     Snapshot out;
     for (const auto& [name, cluster] : clusters) out[name] = cluster.SerializeAsString();
@@ -64,7 +65,7 @@
 /// The ADS service: its streams and the current snapshot. Members may be called from any thread.
 class AdsService final : public discovery::AggregatedDiscoveryService::CallbackService {
 public:
-    explicit AdsService(std::size_t most) : maxStreams_(most) {}
+    explicit AdsService(std::size_t maxStreams) : maxStreams_(maxStreams) {}
     grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse>*
     StreamAggregatedResources(grpc::CallbackServerContext*) override;
     /// Replaces the snapshot and sends the changes to all streams.
@@ -96,10 +97,10 @@
 class AdsStream final
     : public grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse> {
 public:
-    explicit AdsStream(AdsService& streams) : streams_(streams) { StartRead(&request_); }
+    explicit AdsStream(AdsService& service) : service_(service) { StartRead(&request_); }
 
     void OnReadDone(bool ok) override {
-        const std::lock_guard lock(streams_.mutex);
+        const std::lock_guard lock(service_.mutex);
         if (!ok) return finishStream();
         if (finished_) return;  // cancelled: no operation may be started
         handleRequest();
@@ -107,19 +108,19 @@
         StartRead(&request_);
     }
     void OnWriteDone(bool ok) override {
-        const std::lock_guard lock(streams_.mutex);
+        const std::lock_guard lock(service_.mutex);
         writing_ = false;
         if (!ok) return finishStream();
         sendIfChanged();
     }
     void OnCancel() override {
-        const std::lock_guard lock(streams_.mutex);
+        const std::lock_guard lock(service_.mutex);
         finishStream();
     }
     void OnDone() override {
         {
-            const std::lock_guard lock(streams_.mutex);
-            streams_.remove(this);
+            const std::lock_guard lock(service_.mutex);
+            service_.remove(this);
         }
         delete this;
     }
@@ -128,46 +129,46 @@
     /// functions require the mutex.
     void sendIfChanged() {
         if (writing_ || finished_ || resourceNames_.empty()) return;
-        Snapshot due;
+        Snapshot subscribed;
         for (const std::string& name : resourceNames_) {
-            const auto at = streams_.snapshot().find(name);
+            const auto found = service_.snapshot().find(name);
             // An unknown cluster is sent without endpoints.
-            endpoint::ClusterLoadAssignment none;
-            none.set_cluster_name(name);
-            due[name] = at == streams_.snapshot().end() ? none.SerializeAsString() : at->second;
+            endpoint::ClusterLoadAssignment empty;
+            empty.set_cluster_name(name);
+            subscribed[name] = found == service_.snapshot().end() ? empty.SerializeAsString() : found->second;
         }
-        if (due == lastSent_) return;
-        lastSent_ = due;
+        if (subscribed == lastSent_) return;
+        lastSent_ = subscribed;
         nonce_ = std::to_string(++responseCount_);
         response_.Clear();
-        response_.set_version_info(std::to_string(streams_.version()));
+        response_.set_version_info(std::to_string(service_.version()));
         response_.set_type_url(kEndpoints);
         response_.set_nonce(nonce_);
-        for (const auto& [name, bytes] : due) {
+        for (const auto& [name, bytes] : subscribed) {
             auto* resource = response_.add_resources();
             resource->set_type_url(kEndpoints);
             resource->set_value(bytes);
         }
         writing_ = true;
-        streams_.incrementCounter("xds_response");
+        service_.incrementCounter("xds_response");
         StartWrite(&response_);
     }
 
 private:
     void handleRequest() {
-        streams_.incrementCounter("xds_request");
+        service_.incrementCounter("xds_request");
         if (request_.type_url() != kEndpoints) return;  // unsupported types get no response
         if (!request_.response_nonce().empty() && request_.response_nonce() != nonce_)
             return;  // refers to an outdated response
         // A proxy that rejects a response keeps its last state; the next response is sent on the next change.
-        if (request_.has_error_detail()) streams_.incrementCounter("xds_nack");
+        if (request_.has_error_detail()) service_.incrementCounter("xds_nack");
         resourceNames_ = {request_.resource_names().begin(), request_.resource_names().end()};
     }
     void finishStream() {
         if (!std::exchange(finished_, true)) Finish(grpc::Status::OK);
     }
 
-    AdsService& streams_;
+    AdsService& service_;
     discovery::DiscoveryRequest request_;
     discovery::DiscoveryResponse response_;
     std::set<std::string> resourceNames_;
@@ -181,10 +182,10 @@
 namespace {
 
 /// Rejects a stream beyond the limit.
-class TurnedAway final
+class RejectedStream final
     : public grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse> {
 public:
-    TurnedAway() { Finish(grpc::Status(grpc::StatusCode::RESOURCE_EXHAUSTED, "too many streams")); }
+    RejectedStream() { Finish(grpc::Status(grpc::StatusCode::RESOURCE_EXHAUSTED, "too many streams")); }
     void OnDone() override { delete this; }
 };
 
@@ -195,7 +196,7 @@
     const std::lock_guard lock(mutex);
     if (streams_.size() >= maxStreams_) {
         incrementCounter("xds_turned_away");
-        return new TurnedAway;  // deletes itself in OnDone()
+        return new RejectedStream;  // deletes itself in OnDone()
     }
     incrementCounter("xds_stream");
     auto* stream = new AdsStream(*this);
@@ -212,30 +213,30 @@
 }
 
 Server::Server(event_base* base, const Address& listen, const Limits& limits, Counters& counters,
-               std::function<std::vector<NodeStatus>()> view)
+               std::function<std::vector<NodeStatus>()> getNodeStatuses)
     : limits_(limits),
       counters_(counters),
-      getNodeStatuses_(std::move(view)),
-      streams_(std::make_unique<AdsService>(limits.maxXdsStreams)),
+      getNodeStatuses_(std::move(getNodeStatuses)),
+      service_(std::make_unique<AdsService>(limits.maxXdsStreams)),
       publishTimer_(base, [this] { publishSnapshot(); }) {
     grpc::ServerBuilder builder;
     builder.AddListeningPort(listen.toString(), grpc::InsecureServerCredentials());
     builder.SetMaxReceiveMessageSize(static_cast<int>(limits.maxRequestBodyBytes));
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    builder.RegisterService(streams_.get());
-    streams_->server = builder.BuildAndStart();
-    if (!streams_->server) throw std::runtime_error("xds listen: cannot bind " + listen.toString());
+    builder.RegisterService(service_.get());
+    service_->server = builder.BuildAndStart();
+    if (!service_->server) throw std::runtime_error("xds listen: cannot bind " + listen.toString());
     publishSnapshot();
 }
 
 Server::~Server() {
-    streams_->server->Shutdown(std::chrono::system_clock::now());
-    streams_->server->Wait();
+    service_->server->Shutdown(std::chrono::system_clock::now());
+    service_->server->Wait();
 }
 
 void Server::publishSnapshot() {
-    streams_->publish(snapshotOf(getNodeStatuses_()));
-    for (const auto& [name, count] : streams_->takeCounts()) counters_.add(name, count);
+    service_->publish(makeSnapshot(getNodeStatuses_()));
+    for (const auto& [name, count] : service_->takeCounts()) counters_.add(name, count);
     publishTimer_.start(limits_.xdsUpdateIntervalMs);
 }
 
--- a/src/xds/server.h
+++ b/src/xds/server.h
@@ -35,7 +35,7 @@
     const Limits& limits_;
     Counters& counters_;
     std::function<std::vector<NodeStatus>()> getNodeStatuses_;
-    std::unique_ptr<AdsService> streams_;
+    std::unique_ptr<AdsService> service_;
     Timer publishTimer_;
 };
 
