--- a/tests/net/lingering_closes_test.cpp
+++ b/tests/net/lingering_closes_test.cpp
@@ -1,4 +1,4 @@
-// Whether a lingering close ends within its bounds, and loses nothing of what was sent.
+// Tests that lingering closes respect their limits and that clients receive everything that was sent.
 #include "net/lingering_closes.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Two ends of a TCP connection on loopback: ours, as buffers that own their descriptor, and the client's.
+/// A TCP connection on loopback: the server's end as a bufferevent, and the client's socket.
 struct Connection {
     explicit Connection(event_base* base) {
         const int listener = socket(AF_INET, SOCK_STREAM, 0);
@@ -36,7 +36,7 @@
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    /// Whether our side is closed: what the client sends is answered by a reset.
+    /// Returns whether the server's end is closed, so that data from the client is answered by a reset.
     bool reset(const std::function<void()>& turn) const {
         for (int tries = 0; tries < 100; ++tries) {
             if (::send(client, "x", 1, MSG_NOSIGNAL) < 0) return true;
@@ -56,8 +56,7 @@
         event_base_loopexit(base.get(), &soon);
         event_base_dispatch(base.get());
     }
-    /// Runs the loop until no connection lingers; the bound only keeps a broken program from hanging the
-    /// test.
+    /// Runs the loop until no connection lingers. The limit only prevents the test from hanging.
     bool ends() {
         for (int turns = 0; turns < 2000 && closes.size() > 0; ++turns) turn();
         return closes.size() == 0;
@@ -76,8 +75,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "lingering close: what was sent arrives whole, though the client goes on sending, until it closes") {
+TEST_CASE("lingering close: the client receives everything although it continues to send") {
     Lingering t(longLinger());
     Connection connection(t.base.get());
     const std::string answer = "the answer";
@@ -92,12 +90,12 @@
     CHECK(t.closes.allDelivered());
     std::array<char, 64> got{};
     CHECK(recv(connection.client, got.data(), got.size(), 0) == static_cast<ssize_t>(answer.size()));
-    CHECK(recv(connection.client, got.data(), got.size(), 0) == 0);  // our sending has ended
+    CHECK(recv(connection.client, got.data(), got.size(), 0) == 0);  // the sending side is shut down
     shutdown(connection.client, SHUT_WR);
     CHECK(t.ends());
 }
 
-TEST_CASE("lingering close: a client that says nothing is closed when its time is over") {
+TEST_CASE("lingering close: the connection of a silent client is closed at the timeout") {
     Limits limits;
     limits.lingerTimeoutMs = 50;
     Lingering t(limits);
@@ -108,7 +106,7 @@
     CHECK(connection.reset([&] { t.turn(); }));
 }
 
-TEST_CASE("lingering close: one that goes on sending is closed when its time or its bytes are over") {
+TEST_CASE("lingering close: a client that continues to send is closed at the timeout or the byte limit") {
     Limits limits = longLinger();
     SUBCASE("time") { limits.lingerTimeoutMs = 50; }
     SUBCASE("bytes") { limits.maxLingerBytes = 100; }
@@ -122,7 +120,7 @@
     CHECK(t.closes.size() == 0);
 }
 
-TEST_CASE("lingering close: at the bound the one that has lingered longest is closed") {
+TEST_CASE("lingering close: at the connection limit the oldest one is closed") {
     Limits limits = longLinger();
     limits.maxLingeringConnections = 2;
     Lingering t(limits);
--- a/tests/program/etcd_test.cpp
+++ b/tests/program/etcd_test.cpp
@@ -1,4 +1,4 @@
-// Nodes from etcd: a stand-in answers ranges and watches as the JSON gateway does.
+// Tests of the node list from etcd, with a stub of the JSON gateway that answers range and watch requests.
 #include <doctest/doctest.h>
 
 #include "etcd/messages.h"
@@ -40,7 +40,7 @@
             say({{"created", true}});
         }
     }
-    /// A message of the watch, in chunks cut without regard to it.
+    /// Sends a watch message, split into chunks at an arbitrary position.
     void say(Json result) {
         result["header"] = {{"revision", std::to_string(revision)}};
         const std::string line = Json{{"result", result}}.dump() + '\n';
@@ -53,7 +53,7 @@
     void change(const std::string& type, const Json& pair) {
         ++revision;
         Json event{{"kv", pair}};
-        if (type != "PUT") event["type"] = type;  // the gateway leaves out what is the default
+        if (type != "PUT") event["type"] = type;  // the gateway omits the default
         say({{"events", Json::array({event})}});
     }
     bool watches(std::size_t count) {
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("base64 as RFC 4648 has it") {
+TEST_CASE("base64: the test vectors of RFC 4648") {
     for (const auto& [plain, coded] : {std::pair("", ""), std::pair("f", "Zg=="), std::pair("fo", "Zm8="),
                                        std::pair("foo", "Zm9v"), std::pair("foobar", "Zm9vYmFy")}) {
         CHECK(toBase64(plain) == coded);
@@ -79,7 +79,7 @@
     for (const char* bad : {"Z", "Zg=", "Z===", "Zg==Zg==", "Z!=="}) CHECK(!fromBase64(bad));
 }
 
-TEST_CASE("etcd: the whole list, then each change from the next revision on") {
+TEST_CASE("etcd: reads a snapshot, then the changes from the next revision on") {
     EtcdWorld t;
     t.world.start();
     REQUIRE(t.watches(1));
@@ -92,16 +92,16 @@
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("etcd_update") == 3; }));
     CHECK(t.world.sendRequest(t.world.makeRequest("3")).statusCode() == 200);
 
-    // A watch that breaks is asked for again where it stood, and no list.
+    // A broken watch continues from its last revision, without a snapshot.
     t.watch->close();
     REQUIRE(t.watches(2));
     CHECK(t.starts.back() == "10");
     CHECK(t.ranges == 1);
-    CHECK(t.world.discoveryCallCount == 0);  // the platform's discovery is not asked
+    CHECK(t.world.discoveryCallCount == 0);  // the discovery service is not used
 }
 
-// Guards against holding on to a list whose changes were lost.
-TEST_CASE("etcd: after a compaction or a change that cannot be read, the whole list again") {
+// Guards against keeping a list after changes to it were lost.
+TEST_CASE("etcd: after a compaction or an unreadable change, reads a snapshot again") {
     EtcdWorld t;
     t.world.start();
     REQUIRE(t.watches(1));
@@ -118,7 +118,7 @@
     CHECK(t.world.sendRequest(t.world.makeRequest("1")).statusCode() == 200);
 }
 
-TEST_CASE("etcd: a bad value in the operator's file") {
+TEST_CASE("etcd: an invalid value in the operator file is reported") {
     const ProgramHarness world;
     const auto [code, text] = runUntilExit(world.config, {}, {{"address", "x"}, {"prefix", "/"}});
     CHECK(code == 1);
--- a/tests/program/list_test.cpp
+++ b/tests/program/list_test.cpp
@@ -1,5 +1,5 @@
-// The list of nodes on its way into the program: cut, spoilt, late, from an address that it moves away from.
-// Each case is an order of events after which a node that had been announced as leaving got requests.
+// Tests of node lists that are truncated, invalid, late, or sent from a former discovery address. Each case
+// is an order of events after which a node that had been announced as leaving still received requests.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -22,7 +22,7 @@
             world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
         if (start) world.start();
     }
-    /// Whether a request of the shard finds nobody to serve it.
+    /// Returns whether a request for the shard is refused because no node can serve it.
     bool refused(const std::string& id) {
         return world.sendRequest(world.makeRequest(id, "", 400)).statusCode() == 503;
     }
@@ -37,16 +37,16 @@
 
 }  // namespace
 
-// Guards against sends from a configuration that is older than what the agent holds: clients wait for the
-// first list, and with them the answer that says the program is ready.
-TEST_CASE("list: a start sends nothing by its old list while the first one is on its way") {
+// Guards against requests that are sent according to a configuration older than the list of the agent:
+// clients and the readiness check have to wait for the first list.
+TEST_CASE("list: nothing is sent according to the configured list before the first received list") {
     Fleet t(false);
     t.world.setDiscoveryAnswers(false);
     t.world.announceNode("s-1", t.node.listener.address, 5, "draining");
-    t.world.config["settings"]["Rules"]["DrainGraceMs"] = 60'000;  // nothing here comes to its bound
+    t.world.config["settings"]["Rules"]["DrainGraceMs"] = 60'000;  // does not expire in this test
     bool asked = false;
     std::unique_ptr<TestConnection> client;
-    // A client that is there before the program is ready, and a list that comes once it has sent its request.
+    // The client connects before the program is ready. The list is sent after the client's request.
     t.world.whileStarting = [&] {
         if (asked || t.world.discoveryCallCount == 0) return;
         if (!client || client->closedByPeer)
@@ -54,7 +54,8 @@
         if (!client->connected) return;
         asked = true;
         client->send(t.world.makeRequest("0000000000000001", "", 900));
-        (void)t.world.waitUntil([&] { return !t.node.requests.empty(); }, 200);  // it has time to go wrong
+        (void)t.world.waitUntil([&] { return !t.node.requests.empty(); },
+                                200);  // time in which a wrong request could be sent
         t.world.setDiscoveryAnswers(true);
     };
     t.world.start();
@@ -71,7 +72,7 @@
     CHECK(t.world.readCounter("started_unheard") == 0);
 }
 
-TEST_CASE("list: a discovery that stays silent does not keep the program from its start") {
+TEST_CASE("list: the program starts although discovery does not respond") {
     Fleet t(false);
     t.world.setDiscoveryAnswers(false);
     t.world.start();
@@ -79,8 +80,9 @@
     CHECK(t.world.sendRequest(t.world.makeRequest("0000000000000001")).statusCode() == 200);
 }
 
-// Guards against an agent's word that is left unread: it counts as told although the program moves away.
-TEST_CASE("list: after SIGHUP the old address is heard until the new one has told its list") {
+// Guards against an unread response of the former agent: its changes count as delivered although the program
+// switches to another address.
+TEST_CASE("list: after SIGHUP the old address is watched until the new one has delivered a snapshot") {
     Fleet t;
     int calls = 0;
     TestConnection* asked = nullptr;
@@ -96,7 +98,7 @@
     REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount > watches; }));
     CHECK(t.refused("0000000000000001"));
     CHECK(t.node.requests.empty());
-    // The new address lags behind: its whole list is older than what the old one told.
+    // The new address lags behind: its snapshot is older than the change from the old one.
     const int before = calls;
     REQUIRE(t.world.waitUntil([&] { return calls > before; }));
     asked->send(makeHttpReply(
@@ -108,12 +110,12 @@
     CHECK(t.world.readCounter("discovery_stale") == 1);
 }
 
-TEST_CASE("list: an entry that makes no sense leaves the others in force, and the whole list is asked for") {
+TEST_CASE("list: the valid entries of a list with invalid ones are applied, and a snapshot is requested") {
     Fleet t;
     auto bad = t.world.makeNodeEntry("s-2", t.node.listener.address, 5, "ready");
     bad["dial"] = "nowhere";
     auto leaving = t.world.makeNodeEntry("s-1", t.node.listener.address, 5, "draining");
-    leaving["block"] = "five";  // its leaving can be read all the same
+    leaving["block"] = "five";  // the node's leaving can still be read
     t.world.replyRawToNextWatch(listText(9, false, {leaving, bad, 7}));
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("discovery_entry_bad") >= 3; }));
     CHECK(t.refused("0000000000000001"));
@@ -121,7 +123,7 @@
     CHECK(t.world.readCounter("discovery_bad") == 0);
 }
 
-TEST_CASE("list: named twice in one update, the leaving counts") {
+TEST_CASE("list: of two entries for one node in an update, the one for leaving counts") {
     Fleet t;
     const auto entry = [&](const char* health) {
         return t.world.makeNodeEntry("s-1", t.node.listener.address, 5, health);
@@ -132,8 +134,8 @@
     CHECK(t.node.requests.empty());
 }
 
-// What was written before the cut has been told.
-TEST_CASE("list: an update that is cut off tells the leaving that stands before the cut") {
+// Entries before the end of a truncated update count as delivered.
+TEST_CASE("list: a leaving node in the readable part of a truncated update is applied") {
     Fleet t;
     const std::string text = listText(9, false,
                                       {t.world.makeNodeEntry("s-1", t.node.listener.address, 5, "draining"),
@@ -149,9 +151,9 @@
     CHECK(t.node.requests.empty());
 }
 
-// Guards against a call that an agent will never answer: what it learns meanwhile counts as told, so that the
-// call has to end well within the grace.
-TEST_CASE("list: a call to the agent is held for its part of the grace") {
+// Guards against a request that an agent never answers: changes that it learns meanwhile count as delivered,
+// so the request has to time out well within the drain grace.
+TEST_CASE("list: a long poll of the agent lasts for its share of the drain grace") {
     Fleet t;
     REQUIRE(
         t.world.waitUntil([&] { return t.world.lastDiscoveryCall.find("wait_ms=") != std::string::npos; }));
@@ -159,15 +161,15 @@
     ProgramHarness onRequest;
     onRequest.config["settings"]["Discovery"] = "on_request";
     onRequest.start();
-    // 0.42 of the 6 s after which a change counts as told, and the grace.
+    // 0.42 of the sum of the 6 s after which a change counts as delivered and the drain grace.
     REQUIRE(onRequest.waitUntil(
         [&] { return onRequest.lastDiscoveryCall.find("wait_ms=") != std::string::npos; }));
     CHECK(onRequest.lastDiscoveryCall.find("wait_ms=2940 ") != std::string::npos);
 }
 
-// Guards against a second held call, whose silence shows as late as the first one's: what the first has
-// missed counts as told before that.
-TEST_CASE("list: where it is asked for, the call after a silent one is not held") {
+// Guards against a second long poll after a timeout: it would time out as late as the first one, and changes
+// that the first one missed count as delivered before that.
+TEST_CASE("list: with discovery on request, the request after a timeout does not long-poll") {
     Fleet t(false);
     t.world.config["settings"]["Discovery"] = "on_request";
     t.world.start();
@@ -186,7 +188,7 @@
 
 namespace {
 
-/// Runs the loop until discovery has got a call that waits for news, and one more.
+/// Runs the loop until discovery has received another request and that one long-polls.
 void newWatch(ProgramHarness& world) {
     const int before = world.discoveryCallCount;
     REQUIRE(world.waitUntil([&] {
@@ -200,9 +202,9 @@
 
 }  // namespace
 
-// Guards against a list that is given up each time before it is whole: its second half comes when a call to
-// an agent that says nothing would be over.
-TEST_CASE("list: an agent that writes a list slowly and in pieces is heard to its end") {
+// Guards against a list that is never received entirely: its second half arrives when a request without any
+// response would have timed out.
+TEST_CASE("list: a list that the agent sends slowly and in parts is received entirely") {
     Fleet t(false);
     const std::string text = Json{{"seq", 3},
                                   {"whole", true},
@@ -218,7 +220,7 @@
     std::list<Half> halves;
     TestServer agent(t.world.base.get(), [&](TestConnection& wire) {
         const auto call = takeHttpMessage(wire.received);
-        if (!call || call->startLine().find('?') != std::string::npos) return;  // a watch has no news
+        if (!call || call->startLine().find('?') != std::string::npos) return;  // long polls get no response
         wire.send(answer.substr(0, answer.find("s-2")));
         halves.push_back({&wire, std::chrono::steady_clock::now() + std::chrono::milliseconds(250)});
     });
@@ -238,7 +240,7 @@
         return t.world.log.find("heard_before_ms") != std::string::npos;
     };
     REQUIRE(t.world.waitUntil(heard));
-    CHECK(t.refused("0000000000000001"));  // what stands before the cut counts at once
+    CHECK(t.refused("0000000000000001"));  // the received part is applied at once
     const auto whole = [&] {
         finish();
         return t.world.readCounter("discovery_list") > 0;
@@ -247,8 +249,8 @@
     CHECK(t.node.requests.empty());
 }
 
-// Guards against calls without a rest where the settings have no rule on drains, and so no grace to divide.
-TEST_CASE("list: without a grace, failed calls to the agent rest between each other") {
+// Guards against retries without a delay when the settings have no drain grace to derive the delay from.
+TEST_CASE("list: without a drain grace, failed requests to the agent are retried with a delay") {
     Fleet t(false);
     t.world.config["settings"]["Rules"].erase("DrainGraceMs");
     const ReservedAddress nobody;
@@ -256,11 +258,12 @@
     t.world.start();
     (void)t.world.waitUntil([] { return false; }, 500);
     CHECK(t.world.readCounter("discovery_failed") > 0);
-    CHECK(t.world.readCounter("discovery_failed") < 50);  // rests of 50 ms at least: late ones make it fewer
+    CHECK(t.world.readCounter("discovery_failed") < 50);  // delays of at least 50 ms
 }
 
-// Guards against a grace that is given out twice: to the call that fell silent, and whole to the next.
-TEST_CASE("list: two silent calls one after the other leave time for a third within the grace") {
+// Guards against granting the whole drain grace to each request: to the one that timed out and again to the
+// next.
+TEST_CASE("list: after two timeouts there is time for a third request within the drain grace") {
     Fleet t(false);
     t.world.config["settings"]["Rules"]["DrainGraceMs"] = 4000;
     t.world.start();
@@ -273,7 +276,7 @@
     t.world.dropPendingDiscoveryCalls();
     REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount == calls + 2; }));
     CHECK(msSince(told) < 4000);                                             // under half of it without noise
-    CHECK(t.world.lastDiscoveryCall.find("wait_ms=") == std::string::npos);  // for all that the agent holds
+    CHECK(t.world.lastDiscoveryCall.find("wait_ms=") == std::string::npos);  // requests a snapshot
     t.world.setDiscoveryAnswers(true);
     newWatch(t.world);
     CHECK(t.refused("0000000000000001"));
@@ -281,9 +284,9 @@
     CHECK(t.world.readCounter("discovery_silent") == 2);
 }
 
-// Guards against an attempt that waits for its connection while its node is announced as leaving: the rule
-// counts the first byte, whenever the attempt was decided.
-TEST_CASE("list: what was decided before the list came and has not begun to go out is taken back") {
+// Guards against an attempt that waits for its connection while its node is announced as leaving: what counts
+// is when the first byte is sent, not when the attempt was decided.
+TEST_CASE("list: an attempt of which nothing has been sent is withdrawn when its node leaves") {
     Fleet t(false);
     FullBacklogServer jam;
     t.world.config["settings"]["Limits"]["DialTimeoutMs"] = 60'000;
@@ -295,20 +298,20 @@
     t.world.announceNode("s-1", jam.address, 5, "draining");
     std::optional<ParsedHttpMessage> answer;
     REQUIRE(t.world.waitUntil([&] { return (answer = takeHttpMessage(client.received)).has_value(); }));
-    CHECK(answer->statusCode() == 503);  // it never ran
+    CHECK(answer->statusCode() == 503);  // it was not executed
     CHECK(t.world.readCounter("attempt_withdrawn") == 1);
     (void)t.world.waitUntil([&] { return !jam.acceptAndRead().empty(); }, 100);
     CHECK(jam.acceptAndRead().empty());
 }
 
-// Guards against an attempt that is spared since it is young: the list that names its node may have come
-// late.
-TEST_CASE("list: a silent watch, a late connection and a draining node at once") {
+// Guards against keeping an attempt because it is recent: the list that announced its node as leaving may
+// have arrived late.
+TEST_CASE("list: an unanswered watch, a late connection and a draining node at once") {
     Fleet t(false);
     FullBacklogServer jam;
     t.world.config["settings"]["Limits"]["DialTimeoutMs"] = 60'000;
     t.world.config["settings"]["Rules"]["DrainGraceMs"] =
-        20'000;  // a tenth is longer than a second dial takes
+        20'000;  // a tenth exceeds the delay of a second connection
     t.world.config["known"]["hosts"] = Json::array({t.world.makeNodeEntry("s-1", jam.address, 5, "ready")});
     t.world.start();
     newWatch(t.world);
@@ -316,27 +319,28 @@
     t.world.announceNode("s-1", jam.address, 5, "draining");
     const int calls = t.world.discoveryCallCount;
     REQUIRE(t.world.waitUntil([&] { return t.world.discoveryCallCount > calls; }));
-    // The next call is on its way, and its answer not yet: an attempt begins.
+    // The attempt begins while the next request has been sent but not answered.
     TestConnection& client = t.world.connect();
     client.send(t.world.makeRequest("0000000000000001", "", 5000));
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("attempt_sent") == 1; }));
     t.world.setDiscoveryAnswers(true);
     REQUIRE(t.world.waitUntil([&] { return t.world.readCounter("discovery_list") > 1; }));
-    (void)jam.acceptAndRead();  // the connection may come up from here on
+    (void)jam.acceptAndRead();  // the connection can be established from here on
     std::optional<ParsedHttpMessage> answer;
     REQUIRE(t.world.waitUntil([&] {
         (void)jam.acceptAndRead();
         return (answer = takeHttpMessage(client.received)).has_value();
     }));
     (void)t.world.waitUntil([&] { return !jam.acceptAndRead().empty(); },
-                            1500);  // a second dial comes after 1 s
+                            1500);  // a second connection is opened after 1 s
     CHECK(jam.acceptAndRead().empty());
     CHECK(answer->statusCode() == 503);
     CHECK(t.world.readCounter("attempt_withdrawn") == 1);
 }
 
-// Guards against caps and costs that only a large fleet meets.
-TEST_CASE("size: many servers with long names and peers: it serves, and one that drains gets nothing") {
+// Guards against limits and costs that only show with many nodes and peers.
+TEST_CASE(
+    "size: with many long-named servers and peers, requests are served and a draining server gets none") {
     int servers = 0, peerCount = 0;
     SUBCASE("400 servers, 350 peers") { servers = 400, peerCount = 350; }
     SUBCASE("1,024 of both") { servers = 1024, peerCount = 1024; }
@@ -369,7 +373,8 @@
     CHECK(world.sendRequest(at("0000000000000001", 5)).statusCode() == 200);
     CHECK(leaving.requests.size() == 1);
     CHECK(world.sendRequest(at("0000000000000002", servers - 1)).statusCode() == 200);
-    // Its list is silent when it begins to drain, and so is the call after that; the third is answered.
+    // Discovery does not answer the request during which the node begins to drain, nor the next one, but the
+    // third.
     newWatch(world);
     world.setDiscoveryAnswers(false);
     const auto told = std::chrono::steady_clock::now();
@@ -382,7 +387,7 @@
     world.announceNode(hosts[5]["host"], leaving.listener.address, 5, "draining");
     bool silent = false;
     int refused = 0;
-    // Bounded by time, not by a number of requests: a fast machine asks 10,000 before the third call.
+    // Limited by time, not by count: a fast machine sends 10,000 requests before the third discovery request.
     for (unsigned i = 3; refused < 3 && msSince(told) < 5 * kGraceMs; ++i) {
         char id[17];
         std::snprintf(id, sizeof id, "%016x", i);
@@ -397,8 +402,9 @@
     CHECK(world.stopAndWait() == 0);
 }
 
-// Guards against datagrams lost for want of room or of turns: all peers bid at the same moment.
-TEST_CASE("peers: a burst of one datagram from each of 1,024 is heard whole") {
+// Guards against datagrams that are lost because the receive buffer is too small or is read too rarely: all
+// peers send their bids at the same moment.
+TEST_CASE("peers: a burst of one datagram from each of 1,024 peers is received entirely") {
     ProgramHarness world;
     Json peers = Json::array({world.peerListenAddress.toString()});
     std::vector<int> sockets;
@@ -413,7 +419,7 @@
     world.config["peers"] = peers;
     world.config["settings"]["Siblings"] = 1024;
     world.start();
-    world.sendSignal(SIGSTOP);  // they all come before it reads one
+    world.sendSignal(SIGSTOP);  // all datagrams arrive before the first is read
     const sockaddr_in to = world.peerListenAddress.socketAddress();
     const std::string text(256, 'x');
     for (const int fd : sockets)
--- a/tests/program/xds_test.cpp
+++ b/tests/program/xds_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints over ADS: a stand-in proxy asks the program, started as a process, for a shard's nodes.
+// Tests of endpoints over ADS: a stub proxy subscribes to the nodes of a shard.
 #include <doctest/doctest.h>
 #include <grpcpp/grpcpp.h>
 
@@ -14,7 +14,7 @@
 
 constexpr const char* kEndpoints = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 
-/// A proxy with one stream. Its deadline only keeps a broken program from hanging the test.
+/// A proxy with one stream. The deadline only prevents the test from hanging.
 struct Proxy {
     explicit Proxy(const martencove::Address& server)
         : stub(discovery::AggregatedDiscoveryService::NewStub(
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-TEST_CASE("endpoints over ADS: what is chosen, what drains, what goes") {
+TEST_CASE("endpoints over ADS: chosen, draining and removed nodes") {
     ProgramHarness world;
     const ReservedAddress first, second, listen;
     world.config["known"]["hosts"] = {world.makeNodeEntry("s-1", first, 5, "ready"),
@@ -77,17 +77,17 @@
             chosen = {at.address(), static_cast<std::uint16_t>(at.port_value())};
         CHECK(node.load_balancing_weight().value() >= 1);
     }
-    CHECK(healthy == 1);  // the decisions send a shard's work to one node
+    CHECK(healthy == 1);  // new work of a shard goes to one node
     CHECK(degraded == 1);
-    CHECK(Proxy::assignment(response, 1).endpoints_size() == 0);  // no such shard: no endpoints
+    CHECK(Proxy::assignment(response, 1).endpoints_size() == 0);  // unknown shard
 
-    // A proxy that could not use it, and one of an older answer, are not told the same again.
+    // Neither a rejected response nor a request with an outdated nonce causes the same response again.
     proxy.ask({"shard-5"}, response.nonce(), "cannot");
     auto narrowed = proxy.next();
     CHECK(narrowed.resources_size() == 1);
     proxy.ask({"shard-7"}, response.nonce());
 
-    // The chosen node drains: the other one is chosen.
+    // When the chosen node drains, the other one is chosen.
     const std::string name = chosen == first ? "s-1" : "s-2";
     REQUIRE(world.waitUntil([&] { return world.discoveryCallCount > 0; }));
     world.announceNode(name, chosen, 5, "draining");
