--- a/tests/program/xds_test.cpp
+++ b/tests/program/xds_test.cpp
@@ -24,7 +24,8 @@
         stream = stub->StreamAggregatedResources(&context);
     }
     ~Proxy() { context.TryCancel(); }
-    void ask(std::vector<std::string> names, const std::string& nonce = "", const std::string& error = "") {
+    void subscribe(std::vector<std::string> names, const std::string& nonce = "",
+                   const std::string& error = "") {
         discovery::DiscoveryRequest request;
         request.set_type_url(kEndpoints);
         request.set_response_nonce(nonce);
@@ -32,14 +33,14 @@
         for (const std::string& name : names) request.add_resource_names(name);
         REQUIRE(stream->Write(request));
     }
-    discovery::DiscoveryResponse next() {
+    discovery::DiscoveryResponse readResponse() {
         discovery::DiscoveryResponse response;
         REQUIRE(stream->Read(&response));
         CHECK(response.type_url() == kEndpoints);
         return response;
     }
-    static endpoint::ClusterLoadAssignment assignment(const discovery::DiscoveryResponse& response,
-                                                      int number) {
+    static endpoint::ClusterLoadAssignment parseAssignment(const discovery::DiscoveryResponse& response,
+                                                           int number) {
         endpoint::ClusterLoadAssignment out;
         REQUIRE(number < response.resources_size());
         CHECK(out.ParseFromString(response.resources(number).value()));
@@ -54,17 +55,17 @@
 }  // namespace
 
 TEST_CASE("endpoints over ADS: chosen, draining and removed nodes") {
-    ProgramHarness world;
+    ProgramHarness harness;
     const ReservedAddress first, second, listen;
-    world.config["known"]["hosts"] = {world.makeNodeEntry("s-1", first, 5, "ready"),
-                                      world.makeNodeEntry("s-2", second, 5, "ready")};
-    world.xdsSection = {{"listen", listen.toString()}};
-    world.start();
+    harness.config["known"]["hosts"] = {harness.makeNodeEntry("s-1", first, 5, "ready"),
+                                        harness.makeNodeEntry("s-2", second, 5, "ready")};
+    harness.xdsSection = {{"listen", listen.toString()}};
+    harness.start();
     Proxy proxy(listen);
-    proxy.ask({"shard-5", "shard-9"});
-    auto response = proxy.next();
+    proxy.subscribe({"shard-5", "shard-9"});
+    auto response = proxy.readResponse();
     REQUIRE(response.resources_size() == 2);
-    auto cluster = Proxy::assignment(response, 0);
+    auto cluster = Proxy::parseAssignment(response, 0);
     CHECK(cluster.cluster_name() == "shard-5");
     REQUIRE(cluster.endpoints(0).lb_endpoints_size() == 2);
     int healthy = 0, degraded = 0;
@@ -72,36 +73,36 @@
     for (const auto& node : cluster.endpoints(0).lb_endpoints()) {
         healthy += node.health_status() == endpoint::HEALTHY;
         degraded += node.health_status() == endpoint::DEGRADED;
-        const auto& at = node.endpoint().address().socket_address();
+        const auto& socketAddress = node.endpoint().address().socket_address();
         if (node.health_status() == endpoint::HEALTHY)
-            chosen = {at.address(), static_cast<std::uint16_t>(at.port_value())};
+            chosen = {socketAddress.address(), static_cast<std::uint16_t>(socketAddress.port_value())};
         CHECK(node.load_balancing_weight().value() >= 1);
     }
     CHECK(healthy == 1);  // new work of a shard goes to one node
     CHECK(degraded == 1);
-    CHECK(Proxy::assignment(response, 1).endpoints_size() == 0);  // unknown shard
+    CHECK(Proxy::parseAssignment(response, 1).endpoints_size() == 0);  // unknown shard
 
     // Neither a rejected response nor a request with an outdated nonce causes the same response again.
-    proxy.ask({"shard-5"}, response.nonce(), "cannot");
-    auto narrowed = proxy.next();
+    proxy.subscribe({"shard-5"}, response.nonce(), "cannot");
+    auto narrowed = proxy.readResponse();
     CHECK(narrowed.resources_size() == 1);
-    proxy.ask({"shard-7"}, response.nonce());
+    proxy.subscribe({"shard-7"}, response.nonce());
 
     // When the chosen node drains, the other one is chosen.
     const std::string name = chosen == first ? "s-1" : "s-2";
-    REQUIRE(world.waitUntil([&] { return world.discoveryCallCount > 0; }));
-    world.announceNode(name, chosen, 5, "draining");
-    REQUIRE(world.waitUntil([&] { return world.readCounter("xds_response") == 3; }));
-    response = proxy.next();
+    REQUIRE(harness.waitUntil([&] { return harness.discoveryCallCount > 0; }));
+    harness.announceNode(name, chosen, 5, "draining");
+    REQUIRE(harness.waitUntil([&] { return harness.readCounter("xds_response") == 3; }));
+    response = proxy.readResponse();
     CHECK(response.version_info() != narrowed.version_info());
-    cluster = Proxy::assignment(response, 0);
+    cluster = Proxy::parseAssignment(response, 0);
     for (const auto& node : cluster.endpoints(0).lb_endpoints()) {
-        const bool drains = node.endpoint().address().socket_address().port_value() == chosen.port;
-        CHECK(node.health_status() == (drains ? endpoint::DRAINING : endpoint::HEALTHY));
+        const bool isDraining = node.endpoint().address().socket_address().port_value() == chosen.port;
+        CHECK(node.health_status() == (isDraining ? endpoint::DRAINING : endpoint::HEALTHY));
     }
-    world.announceNode(name, chosen, 5, "gone");
-    REQUIRE(world.waitUntil([&] { return world.readCounter("xds_response") == 4; }));
-    CHECK(Proxy::assignment(proxy.next(), 0).endpoints(0).lb_endpoints_size() == 1);
-    CHECK(world.readCounter("xds_nack") == 1);
-    CHECK(world.stopAndWait() == 0);  // with a stream still open
+    harness.announceNode(name, chosen, 5, "gone");
+    REQUIRE(harness.waitUntil([&] { return harness.readCounter("xds_response") == 4; }));
+    CHECK(Proxy::parseAssignment(proxy.readResponse(), 0).endpoints(0).lb_endpoints_size() == 1);
+    CHECK(harness.readCounter("xds_nack") == 1);
+    CHECK(harness.stopAndWait() == 0);  // with a stream still open
 }
