--- a/bench/swap.cpp
+++ b/bench/swap.cpp
@@ -13,7 +13,7 @@
 
 #include "core/dispatcher.h"
 #include "files/node_file.h"
-#include "files/source.h"
+#include "files/node_file_source.h"
 
 using namespace martencove;
 
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -9,17 +9,17 @@
 
 #include "core/dispatcher.h"
 #ifdef MARTENCOVE_ETCD
-#include "etcd/source.h"
+#include "etcd/node_source.h"
 #endif
 #include "handover/handover.h"
 #include "http/front.h"
 #include "nbd/front.h"
-#include "net/discovery.h"
+#include "net/discovery_client.h"
 #include "net/log.h"
 #include "net/loop.h"
 #include "net/peer_socket.h"
 #include "ops/front.h"
-#include "settings_json/retune.h"
+#include "settings_json/merge_settings.h"
 #include "shutdown/schedule.h"
 #ifdef MARTENCOVE_XDS
 #include "xds/server.h"
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "config/nbd_config.h"
-#include "files/source.h"
+#include "files/node_file_source.h"
 #include "net/address.h"
 #include "settings_json/settings_json.h"
 
--- a/src/etcd/source.cpp
+++ b/src/etcd/node_source.cpp
@@ -1,4 +1,4 @@
-#include "etcd/source.h"
+#include "etcd/node_source.h"
 
 #include "etcd/messages.h"
 #include "net/node_list.h"
--- a/src/files/watch.cpp
+++ b/src/files/file_watcher.cpp
@@ -1,4 +1,4 @@
-#include "files/watch.h"
+#include "files/file_watcher.h"
 
 #include <fcntl.h>
 #include <sys/inotify.h>
--- a/src/files/node_file_monitor.cpp
+++ b/src/files/node_file_monitor.cpp
@@ -10,7 +10,7 @@
 
 #include "files/file_io.h"
 #include "files/node_file.h"
-#include "files/source.h"
+#include "files/node_file_source.h"
 
 namespace martencove::files {
 namespace {
--- a/src/files/source.cpp
+++ b/src/files/node_file_source.cpp
@@ -1,4 +1,4 @@
-#include "files/source.h"
+#include "files/node_file_source.h"
 
 #include <sys/eventfd.h>
 #include <unistd.h>
--- a/src/files/source.h
+++ b/src/files/node_file_source.h
@@ -15,7 +15,7 @@
 #include "core/counters.h"
 #include "core/limits.h"
 #include "core/values.h"
-#include "files/watch.h"
+#include "files/file_watcher.h"
 #include "membership/membership_manager.h"
 #include "net/log.h"
 #include "net/loop.h"
--- a/src/net/discovery.cpp
+++ b/src/net/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery.h"
+#include "net/discovery_client.h"
 
 #include <algorithm>
 #include <string>
--- a/src/settings_json/retune.cpp
+++ b/src/settings_json/merge_settings.cpp
@@ -1,4 +1,4 @@
-#include "settings_json/retune.h"
+#include "settings_json/merge_settings.h"
 
 #include <algorithm>
 #include <set>
--- a/tests/files/node_file_test.cpp
+++ b/tests/files/node_file_test.cpp
@@ -11,7 +11,7 @@
 #include <random>
 
 #include "files/file_io.h"
-#include "files/watch.h"
+#include "files/file_watcher.h"
 #include "membership/membership_manager.h"
 
 using namespace martencove;
--- a/tests/program/retune_test.cpp
+++ b/tests/program/retune_test.cpp
@@ -1,11 +1,10 @@
 // Settings that change while the program runs: numbers that requests hold, files that are not whole, and the
 // program itself at SIGHUP.
-#include "settings_json/retune.h"
-
 #include <doctest/doctest.h>
 
 #include "program_harness.h"
 #include "settings_json/fields.h"
+#include "settings_json/merge_settings.h"
 
 using namespace martencove::test;
 using limedrum::fields::FieldError;
