--- a/tests/program/program_harness.h
+++ b/tests/program/program_harness.h
@@ -1,5 +1,5 @@
-// The world around the program, for tests: it is started as a process, and its clients, storage nodes,
-// discovery and peers are stand-ins on loopback, all on one event loop.
+// Harness for tests of the whole program. Starts the program as a process and provides stand-ins for its
+// clients, storage nodes, discovery service and peers on loopback addresses, all on one event loop.
 #pragma once
 
 #include <signal.h>
@@ -22,40 +22,46 @@
 
 using Json = nlohmann::json;
 
-/// An address that nothing listens on but the program, if it is told to: its port is bound here meanwhile, so
-/// that the system gives it to no other listener and no connection.
+/// A loopback address whose port stays bound, without listening, for the lifetime of the object, so that the
+/// system assigns the port to no other socket. The program can still bind it and listen on it.
 struct ReservedAddress : Address {
     ReservedAddress();
     ~ReservedAddress();
     ReservedAddress(const ReservedAddress&) = delete;
-    ReservedAddress& operator=(
-        const ReservedAddress& other);  ///< the same address, which the other one keeps free
+    /// Copies the address only: `other` keeps its port reserved.
+    ReservedAddress& operator=(const ReservedAddress& other);
 
 private:
     int fd_ = -1;
 };
 
-/// A connection that keeps all that came.
+/// A TCP connection of a test, as client or as server, that buffers everything it receives.
 class TestConnection {
 public:
-    TestConnection(event_base* base, const Address& to);         ///< a client's
-    TestConnection(event_base* base, evutil_socket_t accepted);  ///< a server's
+    /// Starts to connect to a server.
+    TestConnection(event_base* base, const Address& server);
+    /// Wraps a connection that a server accepted.
+    TestConnection(event_base* base, evutil_socket_t accepted);
+    /// Queues the bytes for sending; does nothing after close().
     void send(const std::string& bytes);
     void close() { socket_.reset(); }
-    void sendAndShutdown(const std::string& bytes);  ///< at once, and ends its sending
-    void sendAndReset(const std::string& bytes);     ///< at once, and breaks the connection off
-    void setReading(bool on);   ///< as a side does that takes what has come, or leaves it
-    std::string received;       ///< what has come and nobody has taken
-    bool closedByPeer = false;  ///< by the other side
-    bool connected = false;     ///< as a client
-    std::function<void(TestConnection&)> onData;
+    /// Writes the bytes to the socket at once, then shuts down the sending side.
+    void sendAndShutdown(const std::string& bytes);
+    /// Writes the bytes to the socket at once, then closes the connection with a TCP reset.
+    void sendAndReset(const std::string& bytes);
+    /// Starts or stops reading from the socket. Unread bytes stay in the system's receive buffer.
+    void setReading(bool on);
+    std::string received;                         ///< received bytes that no test has consumed yet
+    bool closedByPeer = false;                    ///< also set by any error of the connection
+    bool connected = false;                       ///< set on client connections only
+    std::function<void(TestConnection&)> onData;  ///< called after bytes were added to `received`
 
 private:
     void installCallbacks();
     LibeventPtr<bufferevent> socket_;
 };
 
-/// A raw TCP server on a port of its own.
+/// A TCP server on a loopback port that the system assigns.
 class TestServer {
 public:
     TestServer(event_base* base, std::function<void(TestConnection&)> onData);
@@ -70,19 +76,23 @@
     struct evconnlistener* listener_;
 };
 
-/// A port at which a connection may be kept from coming up, as its queue is full.
+/// A TCP server whose accept queue can be filled by its own connections, so that further connection attempts
+/// stay unanswered until acceptAndRead() is called.
 class FullBacklogServer {
 public:
+    /// Fills the accept queue at once unless `full` is false.
     explicit FullBacklogServer(bool full = true);
     ~FullBacklogServer();
     FullBacklogServer(const FullBacklogServer&) = delete;
     FullBacklogServer& operator=(const FullBacklogServer&) = delete;
     void fillBacklog();
-    /// Takes what waits: from here on connections come up. What any has brought so far, in turn of arrival.
+    /// Accepts all waiting connections, which lets further ones through, and returns readAccepted().
     const std::string& acceptAndRead();
-    const std::string& readAccepted();  ///< the same, and takes none
-    void resetAccepted();               ///< breaks off those that were taken
-    /// On all of them that have brought something since.
+    /// Reads from the accepted connections. Returns all bytes received so far on any of them.
+    const std::string& readAccepted();
+    /// Closes the accepted connections with a TCP reset.
+    void resetAccepted();
+    /// Sends the bytes on every connection that has received data since the last call.
     void replyToUnanswered(const std::string& bytes);
 
     Address address;
@@ -94,100 +104,123 @@
     std::string received_;
 };
 
-/// One HTTP message off the front of `text`: its head and body; nothing where it is not whole.
+/// One HTTP request or response.
 struct ParsedHttpMessage {
-    std::string head, body;
+    std::string head;  ///< start line and headers, each with its CRLF
+    std::string body;  ///< without chunk framing
+    /// The value of a header, whose name is compared case-sensitively; empty if the header is missing.
     [[nodiscard]] std::string header(const std::string& name) const;
+    /// The status code of a response.
     [[nodiscard]] int statusCode() const { return std::stoi(head.substr(9, 3)); }
     [[nodiscard]] std::string startLine() const { return head.substr(0, head.find("\r\n")); }
 };
+/// Removes the first HTTP message from the front of `text` and returns it. Returns nullopt and leaves `text`
+/// unchanged if the message is incomplete.
 [[nodiscard]] std::optional<ParsedHttpMessage> takeHttpMessage(std::string& text);
+/// Composes a response with a Content-Length; every line of `headers` ends with CRLF.
 [[nodiscard]] std::string makeHttpReply(int code, const std::string& body, const std::string& headers = "");
 
-/// A storage node over HTTP: `answer` gets each request, and answers on the wire or doesn't.
+/// A stand-in for a storage node over HTTP. Records each request and passes it to `handler`, which may reply
+/// on the connection.
 struct StubHttpNode {
     using Handler = std::function<void(TestConnection&, const ParsedHttpMessage&)>;
-    StubHttpNode(event_base* base, Handler answer);
+    StubHttpNode(event_base* base, Handler handler);
     std::vector<ParsedHttpMessage> requests;
     Handler handler;
     TestServer listener;
 };
-/// Answers 200 with a text that names the request.
-void replyWithRequestId(TestConnection& wire, const ParsedHttpMessage& request);
+/// Replies 200 with "made for ID:BODY", of the request's Req-Id and body.
+void replyWithRequestId(TestConnection& connection, const ParsedHttpMessage& request);
 
+/// Runs one process of the program with its configuration, a stand-in for discovery and client connections.
+/// The destructor kills the process if it still runs.
 class ProgramHarness {
 public:
-    /// On an event loop of its own, or on one that it shares with another world.
-    explicit ProgramHarness(event_base* shared = nullptr);
+    /// Uses `sharedBase`, the event base of another harness, or creates one if it is null.
+    explicit ProgramHarness(event_base* sharedBase = nullptr);
     ~ProgramHarness();
 
-    /// Starts the program with what `config` and `nbd` say now, and waits until it is ready.
+    /// Starts the program with the current configuration and sections and waits until /healthz returns 200.
+    /// Throws std::runtime_error with the program's log if it does not come up.
     void start();
-    /// The same, until it answers at all.
+    /// Like start(), but waits only until /healthz returns any status.
     void startUntilAnswering();
-    /// Starts it and tells it to end as soon as it listens.
+    /// Starts the program and sends SIGTERM as soon as it listens.
     void startAndTerminate();
-    /// Tells it to end while it reads its configuration; its exit code.
+    /// Starts the program, sends SIGTERM while it reads its configuration and returns its exit code, or 128
+    /// plus the signal that ended it.
     [[nodiscard]] int terminateDuringConfigRead();
-    /// Runs the loop until it holds. The time-out only keeps a broken program from hanging the test.
-    [[nodiscard]] bool waitUntil(const std::function<bool()>& holds, double mostMs = 20000);
-    /// Waits for longer than a node's connection rests after an answer.
+    /// Runs the event loop until `condition` returns true. Returns false after `timeoutMs`, which only keeps
+    /// a faulty program from blocking the test.
+    [[nodiscard]] bool waitUntil(const std::function<bool()>& condition, double timeoutMs = 20000);
+    /// Waits for 30 ms, longer than the program pauses a node connection after an answer.
     void waitForNodeReuse() {
         (void)waitUntil([] { return false; }, 30);
     }
-    /// Lets the program end, unless it has been told to; its exit code.
+    /// Sends the signal, unless it is SIGTERM and SIGTERM was sent before, and waits for the program to exit.
+    /// Returns its exit code, 128 plus the number of the signal that ended it, or -1 if it still runs after
+    /// 20 s.
     [[nodiscard]] int stopAndWait(int signal = SIGTERM);
     [[nodiscard]] bool running();
-    /// A folder of the test's own, gone with it.
+    /// The temporary folder of this harness, which the destructor removes.
     [[nodiscard]] const std::string& folder() const { return folder_; }
-    /// Writes the configuration anew, for SIGHUP: `config` as it is now, or any text.
+    /// Writes the current `config` to the configuration file; the program reads it again upon SIGHUP.
     void rewriteConfig() const { rewriteConfig(config.dump()); }
+    /// Writes any text to the configuration file.
     void rewriteConfig(const std::string& text) const;
-    void sendSignal(int number) {
-        terminationRequested_ = terminationRequested_ || number == SIGTERM;
-        kill(pid_, number);
+    void sendSignal(int signal) {
+        terminationRequested_ = terminationRequested_ || signal == SIGTERM;
+        kill(pid_, signal);
     }
 
-    /// Tells of a node; `health` "gone" removes it.
-    void announceNode(const std::string& name, const Address& dial, int shard,
+    /// Adds or changes a node in the list of discovery; the health "gone" removes it.
+    void announceNode(const std::string& name, const Address& address, int shard,
                       const std::string& health = "ready");
+    /// Answers the next watch call with 200 and this body.
     void replyRawToNextWatch(const std::string& body);
-    /// The same as bytes of the wire, after which the connection ends.
+    /// Answers the next watch call with exactly these bytes, then shuts down the sending side.
     void replyRawThenClose(const std::string& bytes);
-    std::function<void()> whileStarting;  ///< called again and again until the program is ready
+    std::function<void()> whileStarting;  ///< called repeatedly until the program has started
 
+    /// Opens a client connection to the program's HTTP address. The harness owns it.
     TestConnection& connect();
-    TestConnection& connect(const Address& to);
-    /// Sends it on a new connection and waits for the answer.
+    TestConnection& connect(const Address& server);
+    /// Sends a request on a new connection and waits for the response. Returns one with the status code 0 if
+    /// the program closes the connection or does not answer within 20 s.
     [[nodiscard]] ParsedHttpMessage sendRequest(const std::string& request);
-    [[nodiscard]] std::string makeRequest(const std::string& id, const std::string& more = "",
+    /// Composes a read request, or a write request if `body` is not empty. Every line of `extraHeaders` ends
+    /// with CRLF.
+    [[nodiscard]] std::string makeRequest(const std::string& id, const std::string& extraHeaders = "",
                                           int deadlineMs = 5000, const std::string& body = "");
+    /// Reads a counter from /counters; 0 if it is not listed.
     [[nodiscard]] long long readCounter(const std::string& name);
-    [[nodiscard]] Json makeNodeEntry(const std::string& name, const Address& dial, int shard,
+    /// A node's entry in a list of discovery.
+    [[nodiscard]] Json makeNodeEntry(const std::string& name, const Address& address, int shard,
                                      const std::string& health) const;
 
-    LibeventPtr<event_base> ownedBase;
-    struct EventBaseRef {  // reads as a pointer
+    LibeventPtr<event_base> ownedBase;  ///< null if the event base is shared
+    /// A non-owning reference to the event base in use, with the accessor of a smart pointer.
+    struct EventBaseRef {
         event_base* pointer;
         event_base* get() const { return pointer; }
     } base;
     Json config;
-    Json nbdSection, etcdSection, xdsSection,
-        nodesSection;                         ///< sections of the operator's file; null: not there
-    std::string tmpDir;                       ///< the folder in TMPDIR; empty: none of its own
-    std::vector<std::string> extraArguments;  ///< further ones on the command line
+    /// Sections of the operator's file; a null section is left out, and the file if all are.
+    Json nbdSection, etcdSection, xdsSection, nodesSection;
+    std::string tmpDir;                       ///< TMPDIR of the program; empty: that of the test
+    std::vector<std::string> extraArguments;  ///< added to the program's command line
     ReservedAddress listenAddress, nbdListenAddress, peerListenAddress;
-    std::string log;                ///< what the program wrote
-    int discoveryCallCount = 0;     ///< calls that discovery got
-    std::string lastDiscoveryCall;  ///< the last one's first line
-    /// Whether discovery answers; what waits is answered once it does.
+    std::string log;                ///< standard output and error of the program, updated by waitUntil()
+    int discoveryCallCount = 0;     ///< calls to discovery so far
+    std::string lastDiscoveryCall;  ///< start line of the last call to discovery
+    /// Sets whether discovery answers. Calls that arrive while it does not are answered once it does again.
     void setDiscoveryAnswers(bool on);
-    /// What waits is never answered; calls that come later are.
+    /// Leaves all pending calls to discovery unanswered for good; later calls are answered.
     void dropPendingDiscoveryCalls() { pendingCalls_.clear(); }
 
 private:
     void launch();
-    void startUntilHealthReply(const std::string& answer);
+    void startUntilHealthReply(const std::string& expectedPrefix);
     void answerDiscoveryCalls();
     void readLog();
 
@@ -197,7 +230,7 @@
         int afterVersion;
         std::chrono::steady_clock::time_point answerByTime;
     };
-    std::map<int, Json> changesByVersion_;  // by version
+    std::map<int, Json> changesByVersion_;
     std::map<std::string, Json> nodesByName_;
     std::string rawReply_;
     bool closeAfterRawReply_ = false;
@@ -208,11 +241,12 @@
     std::list<TestConnection> clients_;
     std::string folder_;
     pid_t pid_ = 0;
-    bool terminationRequested_ = false;  // to end
+    bool terminationRequested_ = false;  // SIGTERM was sent
     int waitStatus_ = -1;
 };
 
-/// The exit code and standard error of the program, for settings that it should not take.
+/// Runs the program until it exits by itself, without a time limit, for configurations that it should reject.
+/// Returns its exit code, or -1 if a signal ended it, and its standard output and error.
 [[nodiscard]] std::pair<int, std::string> runUntilExit(const Json& config, const Json& nbd = {},
                                                        const Json& etcd = {});
 
