--- a/tests/program/program_harness.cpp
+++ b/tests/program/program_harness.cpp
@@ -17,92 +17,97 @@
 namespace martencove::test {
 namespace {
 
-Address addressOf(evutil_socket_t fd) {
-    sockaddr_in in{};
-    socklen_t size = sizeof in;
-    getsockname(fd, reinterpret_cast<sockaddr*>(&in), &size);
+Address boundAddress(evutil_socket_t fd) {
+    sockaddr_in address{};
+    socklen_t size = sizeof address;
+    getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
     char text[INET_ADDRSTRLEN];
-    return {inet_ntop(AF_INET, &in.sin_addr, text, sizeof text), ntohs(in.sin_port)};
+    return {inet_ntop(AF_INET, &address.sin_addr, text, sizeof text), ntohs(address.sin_port)};
 }
 
-std::string contents(const std::string& path) {
+std::string readFile(const std::string& path) {
     std::ifstream file(path);
     std::ostringstream text;
     text << file.rdbuf();
     return text.str();
 }
 
-/// A section of the operator's file, as protobuf text: good values and bad ones alike.
-std::string textOf(const std::string& field, const Json& value) {
+/// Formats a section of the operator's file as protobuf text. Invalid values are written as they are, for
+/// tests of how the program rejects them.
+std::string toTextFormat(const std::string& field, const Json& value) {
     if (value.is_array()) {
         std::string out;
-        for (const Json& entry : value) out += textOf(field, entry);
+        for (const Json& entry : value) out += toTextFormat(field, entry);
         return out;
     }
     if (!value.is_object()) return field + ": " + value.dump() + '\n';
     std::string out;
     for (const auto& [name, inner] : value.items()) {
         if (field != "nbd" || name != "nodes") {
-            out += textOf(name, inner);
+            out += toTextFormat(name, inner);
             continue;
         }
-        for (const auto& [key, to] : inner.items()) out += textOf(name, {{"key", key}, {"value", to}});
+        for (const auto& [key, address] : inner.items())
+            out += toTextFormat(name, {{"key", key}, {"value", address}});
     }
     return field + " {\n" + out + "}\n";
 }
 
-/// Starts the program on the configuration in `folder`.
-pid_t launch(const std::string& folder, const Json& config, std::vector<std::string> words,
-             const std::string& shared) {
+/// Starts the program on the configuration file in `folder` and returns its process id. `tmpDir` becomes its
+/// TMPDIR unless empty.
+pid_t launch(const std::string& folder, const Json& config, std::vector<std::string> arguments,
+             const std::string& tmpDir) {
     std::vector<char*> argv;
-    for (std::string& word : words) argv.push_back(word.data());
+    for (std::string& argument : arguments) argv.push_back(argument.data());
     argv.push_back(nullptr);
     const pid_t pid = fork();
     if (pid != 0) return pid;
-    const int out = open((folder + "/log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    dup2(out, 1);
-    dup2(out, 2);
+    const int logFd = open((folder + "/log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+    dup2(logFd, 1);
+    dup2(logFd, 2);
     setenv("NODE_CONFIG", (folder + "/config.json").c_str(), 1);
-    if (!shared.empty()) setenv("TMPDIR", shared.c_str(), 1);
+    if (!tmpDir.empty()) setenv("TMPDIR", tmpDir.c_str(), 1);
     if (config.is_object() && config.contains("discovery"))
         setenv("NODE_DISCOVERY", config.at("discovery").get<std::string>().c_str(), 1);
     execv(MARTENCOVE_PROGRAM, argv.data());
     _exit(127);
 }
 
-/// Writes the configuration and the operator's file, and starts the program on them.
-pid_t spawn(const std::string& folder, const Json& config, const Json& extras,
-            const std::vector<std::string>& more = {}, const std::string& shared = {}) {
+/// Writes the configuration and, if any section is not null, the operator's file, and starts the program on
+/// them.
+pid_t spawn(const std::string& folder, const Json& config, const Json& operatorSections,
+            const std::vector<std::string>& extraArguments = {}, const std::string& tmpDir = {}) {
     std::ofstream(folder + "/config.json") << config;
-    std::vector<std::string> words{"martencove"};
-    words.insert(words.end(), more.begin(), more.end());
-    std::string sections;
-    for (const auto& [name, section] : extras.items()) {
-        if (!section.is_null()) sections += textOf(name, section);
+    std::vector<std::string> arguments{"martencove"};
+    arguments.insert(arguments.end(), extraArguments.begin(), extraArguments.end());
+    std::string operatorText;
+    for (const auto& [name, section] : operatorSections.items()) {
+        if (!section.is_null()) operatorText += toTextFormat(name, section);
     }
-    if (!sections.empty()) {
-        words.insert(words.end(), {"--operator", folder + "/operator.textproto"});
-        std::ofstream(words.back()) << sections;
+    if (!operatorText.empty()) {
+        arguments.insert(arguments.end(), {"--operator", folder + "/operator.textproto"});
+        std::ofstream(arguments.back()) << operatorText;
     }
-    return launch(folder, config, std::move(words), shared);
+    return launch(folder, config, std::move(arguments), tmpDir);
 }
 
-std::string newFolder() {
+std::string createTempFolder() {
     std::string name = std::filesystem::temp_directory_path() / "martencove-XXXXXX";
-    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the test");
+    if (mkdtemp(name.data()) == nullptr)
+        throw std::runtime_error("cannot create a temporary folder for the test");
     return name;
 }
 
 }  // namespace
 
-TestConnection::TestConnection(event_base* base, const Address& to)
+TestConnection::TestConnection(event_base* base, const Address& server)
     : socket_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)) {
-    const sockaddr_in in = to.socketAddress();
-    bufferevent_socket_connect(socket_.get(), reinterpret_cast<const sockaddr*>(&in), sizeof in);
+    const sockaddr_in address = server.socketAddress();
+    bufferevent_socket_connect(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
     installCallbacks();
 }
-TestConnection::TestConnection(event_base* base, evutil_socket_t fd)
-    : socket_(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE)) {
+TestConnection::TestConnection(event_base* base, evutil_socket_t accepted)
+    : socket_(bufferevent_socket_new(base, accepted, BEV_OPT_CLOSE_ON_FREE)) {
     installCallbacks();
 }
 void TestConnection::setReading(bool on) {
@@ -112,18 +117,18 @@
 void TestConnection::installCallbacks() {
     bufferevent_setcb(
         socket_.get(),
-        [](bufferevent* b, void* arg) {
+        [](bufferevent* socket, void* arg) {
             auto* self = static_cast<TestConnection*>(arg);
-            evbuffer* input = bufferevent_get_input(b);
-            std::string more(evbuffer_get_length(input), '\0');
-            evbuffer_remove(input, more.data(), more.size());
-            self->received += more;
+            evbuffer* input = bufferevent_get_input(socket);
+            std::string bytes(evbuffer_get_length(input), '\0');
+            evbuffer_remove(input, bytes.data(), bytes.size());
+            self->received += bytes;
             if (self->onData) self->onData(*self);
         },
         nullptr,
-        [](bufferevent*, short what, void* arg) {
+        [](bufferevent*, short events, void* arg) {
             auto* self = static_cast<TestConnection*>(arg);
-            ((what & BEV_EVENT_CONNECTED) == 0 ? self->closedByPeer : self->connected) = true;
+            ((events & BEV_EVENT_CONNECTED) == 0 ? self->closedByPeer : self->connected) = true;
         },
         this);
     bufferevent_enable(socket_.get(), EV_READ | EV_WRITE);
@@ -136,8 +141,8 @@
 void TestConnection::sendAndReset(const std::string& bytes) {
     const evutil_socket_t fd = bufferevent_getfd(socket_.get());
     (void)!::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-    const linger at0{1, 0};
-    setsockopt(fd, SOL_SOCKET, SO_LINGER, &at0, sizeof at0);
+    const linger resetOnClose{1, 0};
+    setsockopt(fd, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
     socket_.reset();
 }
 void TestConnection::send(const std::string& bytes) {
@@ -146,10 +151,10 @@
 
 TestServer::TestServer(event_base* base, std::function<void(TestConnection&)> onData)
     : base_(base), onData_(std::move(onData)) {
-    const sockaddr_in any = Address{"127.0.0.1", 0}.socketAddress();
+    const sockaddr_in anyPort = Address{"127.0.0.1", 0}.socketAddress();
     listener_ = evconnlistener_new_bind(base, onAccept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC,
-                                        -1, reinterpret_cast<const sockaddr*>(&any), sizeof any);
-    address = addressOf(evconnlistener_get_fd(listener_));
+                                        -1, reinterpret_cast<const sockaddr*>(&anyPort), sizeof anyPort);
+    address = boundAddress(evconnlistener_get_fd(listener_));
 }
 TestServer::~TestServer() { evconnlistener_free(listener_); }
 void TestServer::onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
@@ -159,9 +164,9 @@
 
 FullBacklogServer::FullBacklogServer(bool full)
     : listenerFd_(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
-    const sockaddr_in in = Address{"127.0.0.1", 0}.socketAddress();
-    bind(listenerFd_, reinterpret_cast<const sockaddr*>(&in), sizeof in);
-    address = addressOf(listenerFd_);
+    const sockaddr_in anyPort = Address{"127.0.0.1", 0}.socketAddress();
+    bind(listenerFd_, reinterpret_cast<const sockaddr*>(&anyPort), sizeof anyPort);
+    address = boundAddress(listenerFd_);
     listen(listenerFd_, 0);
     if (full) fillBacklog();
 }
@@ -171,10 +176,10 @@
     close(listenerFd_);
 }
 void FullBacklogServer::fillBacklog() {
-    const sockaddr_in in = address.socketAddress();
+    const sockaddr_in server = address.socketAddress();
     for (int i = 0; i < 3; ++i) {
         fillerFds_.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-        (void)connect(fillerFds_.back(), reinterpret_cast<const sockaddr*>(&in), sizeof in);
+        (void)connect(fillerFds_.back(), reinterpret_cast<const sockaddr*>(&server), sizeof server);
     }
 }
 const std::string& FullBacklogServer::acceptAndRead() {
@@ -183,10 +188,10 @@
     return readAccepted();
 }
 const std::string& FullBacklogServer::readAccepted() {
-    char some[4096];
+    char buffer[4096];
     for (const int fd : acceptedFds_) {
-        for (ssize_t got = 0; (got = recv(fd, some, sizeof some, 0)) > 0;) {
-            received_.append(some, static_cast<std::size_t>(got));
+        for (ssize_t size = 0; (size = recv(fd, buffer, sizeof buffer, 0)) > 0;) {
+            received_.append(buffer, static_cast<std::size_t>(size));
             unansweredFds_.insert(fd);
         }
     }
@@ -197,66 +202,66 @@
     unansweredFds_.clear();
 }
 void FullBacklogServer::resetAccepted() {
-    const linger at0{1, 0};
+    const linger resetOnClose{1, 0};
     for (const int fd : acceptedFds_) {
-        setsockopt(fd, SOL_SOCKET, SO_LINGER, &at0, sizeof at0);
+        setsockopt(fd, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
         close(fd);
     }
     acceptedFds_.clear();
 }
 
 std::string ParsedHttpMessage::header(const std::string& name) const {
-    const std::size_t at = head.find("\r\n" + name + ": ");
-    if (at == head.npos) return "";
-    const std::size_t from = at + name.size() + 4;
-    return head.substr(from, head.find("\r\n", from) - from);
+    const std::size_t start = head.find("\r\n" + name + ": ");
+    if (start == head.npos) return "";
+    const std::size_t value = start + name.size() + 4;
+    return head.substr(value, head.find("\r\n", value) - value);
 }
 std::optional<ParsedHttpMessage> takeHttpMessage(std::string& text) {
-    const std::size_t end = text.find("\r\n\r\n");
-    if (end == text.npos) return std::nullopt;
-    ParsedHttpMessage out{text.substr(0, end + 2), ""};
-    if (out.header("Transfer-Encoding") == "chunked") {
-        for (std::size_t at = end + 4;;) {
-            const std::size_t line = text.find("\r\n", at);
-            if (line == text.npos) return std::nullopt;
-            const std::size_t size = std::stoul(text.substr(at, line - at), nullptr, 16);
-            if (text.size() < line + 2 + size + 2) return std::nullopt;
-            out.body += text.substr(line + 2, size);
-            at = line + 2 + size + 2;
+    const std::size_t headEnd = text.find("\r\n\r\n");
+    if (headEnd == text.npos) return std::nullopt;
+    ParsedHttpMessage message{text.substr(0, headEnd + 2), ""};
+    if (message.header("Transfer-Encoding") == "chunked") {
+        for (std::size_t position = headEnd + 4;;) {
+            const std::size_t lineEnd = text.find("\r\n", position);
+            if (lineEnd == text.npos) return std::nullopt;
+            const std::size_t size = std::stoul(text.substr(position, lineEnd - position), nullptr, 16);
+            if (text.size() < lineEnd + 2 + size + 2) return std::nullopt;
+            message.body += text.substr(lineEnd + 2, size);
+            position = lineEnd + 2 + size + 2;
             if (size > 0) continue;
-            text.erase(0, at);
-            return out;
+            text.erase(0, position);
+            return message;
         }
     }
-    const std::string length = out.header("Content-Length");
+    const std::string length = message.header("Content-Length");
     const std::size_t size = length.empty() ? 0 : std::stoul(length);
-    if (text.size() < end + 4 + size) return std::nullopt;
-    out.body = text.substr(end + 4, size);
-    text.erase(0, end + 4 + size);
-    return out;
+    if (text.size() < headEnd + 4 + size) return std::nullopt;
+    message.body = text.substr(headEnd + 4, size);
+    text.erase(0, headEnd + 4 + size);
+    return message;
 }
 std::string makeHttpReply(int code, const std::string& body, const std::string& headers) {
     return "HTTP/1.1 " + std::to_string(code) + " X\r\nContent-Length: " + std::to_string(body.size()) +
            "\r\n" + headers + "\r\n" + body;
 }
-StubHttpNode::StubHttpNode(event_base* base, Handler a)
-    : handler(std::move(a)), listener(base, [this](TestConnection& wire) {
-          while (const auto request = takeHttpMessage(wire.received)) {
+StubHttpNode::StubHttpNode(event_base* base, Handler initialHandler)
+    : handler(std::move(initialHandler)), listener(base, [this](TestConnection& connection) {
+          while (const auto request = takeHttpMessage(connection.received)) {
               requests.push_back(*request);
-              handler(wire, *request);
+              handler(connection, *request);
           }
       }) {}
-void replyWithRequestId(TestConnection& wire, const ParsedHttpMessage& request) {
-    wire.send(makeHttpReply(200, "made for " + request.header("Req-Id") + ":" + request.body));
+void replyWithRequestId(TestConnection& connection, const ParsedHttpMessage& request) {
+    connection.send(makeHttpReply(200, "made for " + request.header("Req-Id") + ":" + request.body));
 }
 
-// The program may bind it too, as both allow it and this one does not listen.
+// The program can bind the same port because both sockets set SO_REUSEADDR and this one does not listen.
 ReservedAddress::ReservedAddress() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     const int on = 1;
     setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    const sockaddr_in any = Address{"127.0.0.1", 0}.socketAddress();
-    bind(fd_, reinterpret_cast<const sockaddr*>(&any), sizeof any);
-    Address::operator=(addressOf(fd_));
+    const sockaddr_in anyPort = Address{"127.0.0.1", 0}.socketAddress();
+    bind(fd_, reinterpret_cast<const sockaddr*>(&anyPort), sizeof anyPort);
+    Address::operator=(boundAddress(fd_));
 }
 ReservedAddress::~ReservedAddress() { close(fd_); }
 ReservedAddress& ReservedAddress::operator=(const ReservedAddress& other) {
@@ -264,28 +269,29 @@
     return *this;
 }
 
-ProgramHarness::ProgramHarness(event_base* shared)
-    : ownedBase(shared == nullptr ? makeEventBase() : nullptr),
-      base{shared == nullptr ? ownedBase.get() : shared},
+ProgramHarness::ProgramHarness(event_base* sharedBase)
+    : ownedBase(sharedBase == nullptr ? makeEventBase() : nullptr),
+      base{sharedBase == nullptr ? ownedBase.get() : sharedBase},
       discovery_(
           base.get(),
-          [this](TestConnection& wire) {
-              while (const auto call = takeHttpMessage(wire.received)) {
+          [this](TestConnection& connection) {
+              while (const auto call = takeHttpMessage(connection.received)) {
                   ++discoveryCallCount;
                   lastDiscoveryCall = call->startLine();
-                  const auto figure = [&](const std::string& name) {
-                      const std::size_t at = lastDiscoveryCall.find(name + "=");
-                      return at == lastDiscoveryCall.npos
+                  const auto queryParameter = [&](const std::string& name) {
+                      const std::size_t start = lastDiscoveryCall.find(name + "=");
+                      return start == lastDiscoveryCall.npos
                                  ? 0
-                                 : std::stoi(lastDiscoveryCall.substr(at + name.size() + 1));
+                                 : std::stoi(lastDiscoveryCall.substr(start + name.size() + 1));
                   };
-                  pendingCalls_.push_back(
-                      {&wire, lastDiscoveryCall.find('?') == lastDiscoveryCall.npos, figure("after"),
-                       std::chrono::steady_clock::now() + std::chrono::milliseconds(figure("wait_ms"))});
+                  pendingCalls_.push_back({&connection, lastDiscoveryCall.find('?') == lastDiscoveryCall.npos,
+                                           queryParameter("after"),
+                                           std::chrono::steady_clock::now() +
+                                               std::chrono::milliseconds(queryParameter("wait_ms"))});
               }
               answerDiscoveryCalls();
           }),
-      folder_(newFolder()) {
+      folder_(createTempFolder()) {
     const Json classes = Json::array({{{"Name", "read"},
                                        {"AimMs", 300},
                                        {"DeadlineMs", 5000},
@@ -342,15 +348,16 @@
 void ProgramHarness::startAndTerminate() {
     launch();
     if (!waitUntil([this] { return log.find("start: listens") != std::string::npos || !running(); }))
-        throw std::runtime_error("the program does not start: " + contents(folder_ + "/log"));
+        throw std::runtime_error("the program did not start: " + readFile(folder_ + "/log"));
     sendSignal(SIGTERM);
 }
 
 int ProgramHarness::terminateDuringConfigRead() {
     const std::string path = folder_ + "/config.json";
-    if (mkfifo(path.c_str(), 0600) != 0) throw std::runtime_error("no FIFO for the configuration");
+    if (mkfifo(path.c_str(), 0600) != 0)
+        throw std::runtime_error("cannot create a FIFO for the configuration");
     pid_ = martencove::test::launch(folder_, config, {"martencove"}, tmpDir);
-    std::ofstream pipe(path);  // opens once the program has opened it too
+    std::ofstream pipe(path);  // blocks until the program opens the FIFO
     sendSignal(SIGTERM);
     pipe << config;
     pipe.close();
@@ -368,33 +375,33 @@
                  extraArguments, tmpDir);
 }
 
-void ProgramHarness::startUntilHealthReply(const std::string& answer) {
+void ProgramHarness::startUntilHealthReply(const std::string& expectedPrefix) {
     launch();
     std::unique_ptr<TestConnection> health;
-    const bool up = waitUntil([&] {
+    const bool answered = waitUntil([&] {
         if (whileStarting) whileStarting();
         if (!health || health->closedByPeer ||
-            (!health->received.empty() && !health->received.starts_with(answer))) {
+            (!health->received.empty() && !health->received.starts_with(expectedPrefix))) {
             health = std::make_unique<TestConnection>(base.get(), listenAddress);
             health->send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        return health->received.starts_with(answer) || !running();
+        return health->received.starts_with(expectedPrefix) || !running();
     });
-    if (!up || !running())
-        throw std::runtime_error("the program does not start: " + contents(folder_ + "/log"));
+    if (!answered || !running())
+        throw std::runtime_error("the program did not start: " + readFile(folder_ + "/log"));
 }
 
 void ProgramHarness::rewriteConfig(const std::string& text) const {
     std::ofstream(folder_ + "/config.json") << text;
 }
 
-bool ProgramHarness::waitUntil(const std::function<bool()>& holds, double mostMs) {
+bool ProgramHarness::waitUntil(const std::function<bool()>& condition, double timeoutMs) {
     const auto start = std::chrono::steady_clock::now();
-    while (!holds()) {
-        if (std::chrono::steady_clock::now() - start > std::chrono::duration<double, std::milli>(mostMs))
+    while (!condition()) {
+        if (std::chrono::steady_clock::now() - start > std::chrono::duration<double, std::milli>(timeoutMs))
             return false;
-        const timeval turn = toTimeval(5);
-        event_base_loopexit(base.get(), &turn);
+        const timeval interval = toTimeval(5);
+        event_base_loopexit(base.get(), &interval);
         event_base_loop(base.get(), EVLOOP_ONCE);
         answerDiscoveryCalls();
         readLog();
@@ -407,24 +414,24 @@
     return pid_ > 0;
 }
 
-int ProgramHarness::stopAndWait(int number) {
-    if (running() && !(terminationRequested_ && number == SIGTERM)) sendSignal(number);
+int ProgramHarness::stopAndWait(int signal) {
+    if (running() && !(terminationRequested_ && signal == SIGTERM)) sendSignal(signal);
     if (!waitUntil([this] { return !running(); })) return -1;
     return WIFEXITED(waitStatus_) ? WEXITSTATUS(waitStatus_) : 128 + WTERMSIG(waitStatus_);
 }
 
-void ProgramHarness::readLog() { log = contents(folder_ + "/log"); }
+void ProgramHarness::readLog() { log = readFile(folder_ + "/log"); }
 
-Json ProgramHarness::makeNodeEntry(const std::string& name, const Address& dial, int shard,
+Json ProgramHarness::makeNodeEntry(const std::string& name, const Address& address, int shard,
                                    const std::string& health) const {
-    return {{"host", name},   {"dial", dial.toString()}, {"site", "a"},  {"class", "m"},
-            {"block", shard}, {"health", health},        {"share", 1.0}, {"born_ms", 0}};
+    return {{"host", name},   {"dial", address.toString()}, {"site", "a"},  {"class", "m"},
+            {"block", shard}, {"health", health},           {"share", 1.0}, {"born_ms", 0}};
 }
-void ProgramHarness::announceNode(const std::string& name, const Address& dial, int shard,
+void ProgramHarness::announceNode(const std::string& name, const Address& address, int shard,
                                   const std::string& health) {
-    const Json told = makeNodeEntry(name, dial, shard, health);
-    changesByVersion_[++version_] = told;
-    nodesByName_[name] = told;
+    const Json entry = makeNodeEntry(name, address, shard, health);
+    changesByVersion_[++version_] = entry;
+    nodesByName_[name] = entry;
     if (health == "gone") nodesByName_.erase(name);
     answerDiscoveryCalls();
 }
@@ -440,8 +447,9 @@
     answersDiscovery_ = on;
     answerDiscoveryCalls();
 }
-// As discovery does: a call for the whole list at once, a watch with what is newer than it knows, or with
-// nothing at its wait's end. A raw answer goes to the next watch.
+// Answers as the discovery service does: a call for the whole list at once, a watch with the changes that are
+// newer than the version it names, or with an empty list when its wait time ends. A raw reply goes to the
+// next watch.
 void ProgramHarness::answerDiscoveryCalls() {
     std::erase_if(pendingCalls_, [this](const PendingCall& call) {
         if (call.connection->closedByPeer) return true;
@@ -467,35 +475,38 @@
 }
 
 TestConnection& ProgramHarness::connect() { return connect(listenAddress); }
-TestConnection& ProgramHarness::connect(const Address& to) { return clients_.emplace_back(base.get(), to); }
-ParsedHttpMessage ProgramHarness::sendRequest(const std::string& text) {
-    TestConnection wire(base.get(), listenAddress);
-    wire.send(text);
-    std::optional<ParsedHttpMessage> answer;
-    (void)waitUntil([&] { return (answer = takeHttpMessage(wire.received)) || wire.closedByPeer; });
-    return answer.value_or(ParsedHttpMessage{"HTTP/1.1 000 closed\r\n", ""});
-}
-std::string ProgramHarness::makeRequest(const std::string& id, const std::string& more, int deadlineMs,
-                                        const std::string& body) {
+TestConnection& ProgramHarness::connect(const Address& server) {
+    return clients_.emplace_back(base.get(), server);
+}
+ParsedHttpMessage ProgramHarness::sendRequest(const std::string& request) {
+    TestConnection connection(base.get(), listenAddress);
+    connection.send(request);
+    std::optional<ParsedHttpMessage> response;
+    (void)waitUntil(
+        [&] { return (response = takeHttpMessage(connection.received)) || connection.closedByPeer; });
+    return response.value_or(ParsedHttpMessage{"HTTP/1.1 000 closed\r\n", ""});
+}
+std::string ProgramHarness::makeRequest(const std::string& id, const std::string& extraHeaders,
+                                        int deadlineMs, const std::string& body) {
     return std::string(body.empty() ? "GET /read" : "PUT /write") +
            "/00000003b4d60021/7f3a9c21e0b4d655?x=1 HTTP/1.1\r\nHost: b\r\nReq-Id: " + id +
            "\r\nTier: basic\r\nReq-Deadline-Ms: " + std::to_string(deadlineMs) +
-           "\r\nIO-Info: units=2,shard=5,hosts=1\r\n" + more +
+           "\r\nIO-Info: units=2,shard=5,hosts=1\r\n" + extraHeaders +
            (body.empty() ? ""
                          : "Idempotency-Key: k\r\nContent-Length: " + std::to_string(body.size()) + "\r\n") +
            "\r\n" + body;
 }
 long long ProgramHarness::readCounter(const std::string& name) {
     const std::string text = '\n' + sendRequest("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n").body;
-    const std::size_t at = text.find('\n' + name + ' ');
-    return at == text.npos ? 0 : std::stoll(text.substr(at + name.size() + 2));
+    const std::size_t start = text.find('\n' + name + ' ');
+    return start == text.npos ? 0 : std::stoll(text.substr(start + name.size() + 2));
 }
 
 std::pair<int, std::string> runUntilExit(const Json& config, const Json& nbd, const Json& etcd) {
-    const std::string folder = newFolder();
+    const std::string folder = createTempFolder();
     int status = 0;
     waitpid(spawn(folder, config, {{"nbd", nbd}, {"etcd", etcd}}), &status, 0);
-    const std::string log = contents(folder + "/log");
+    const std::string log = readFile(folder + "/log");
     std::filesystem::remove_all(folder);
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, log};
 }
