--- a/examples/first-run.sh
+++ b/examples/first-run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A first run: installs what a new machine lacks, builds, and serves real requests between a toy storage node and
-# you, from a file of nodes. Ends with Ctrl-C; with --once after the two requests that it makes itself.
+# Installs missing packages, builds, starts the scheduler with an example storage node from a node file, and sends a
+# write and a read. The scheduler then serves until Ctrl-C; with --once the script ends after the two requests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 missing=()
@@ -49,5 +49,5 @@
 echo
 "$build/martencove" nodes show 127.0.0.1:8443
 [ "${1:-}" = --once ] && exit 0
-echo "It serves on 127.0.0.1:8443 from $work/nodes.textproto; Ctrl-C ends it."
+echo "Serving on 127.0.0.1:8443 with the nodes of $work/nodes.textproto. Press Ctrl-C to stop."
 wait
--- a/tests/outside/main.cpp
+++ b/tests/outside/main.cpp
@@ -1,4 +1,4 @@
-// A project of its own that links the installed library: one request from its arrival to its answer.
+// A separate project that links the installed library and runs one request from its arrival to its outcome.
 #include <limedrum/scheduler.h>
 
 #include <cstdio>
--- a/tests/outside/run.sh
+++ b/tests/outside/run.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs the built library into a scratch folder, builds the outside project against it and runs it.
+# Installs the built library into a temporary folder, builds the separate project against it and runs it:
+#   run.sh BUILD_FOLDER PROJECT_FOLDER
 set -euo pipefail
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The test command: builds with warnings as errors, plain and with sanitizers, and runs all tests in both.
+# Builds with warnings as errors, once without and once with sanitizers, and runs all tests in both builds.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 for kind in plain sanitized; do
