--- a/bench/compare.sh
+++ b/bench/compare.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Sets the decision module of an earlier commit beside the present one in one run, alternating:
+# Compares the CPU time of the decision module of an earlier commit with that of the working tree. Runs both in turn,
+# so that changes of the machine's load affect both:
 #   bench/compare.sh COMMIT [ROUNDS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/bench/footprint.sh
+++ b/bench/footprint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Resident memory and time until ready of builds side by side, alternating, each with examples/config.json and no
-# operator's file:
+# Compares the resident memory and the start-up time of several builds of the program, run in turn with
+# examples/config.json and without an operator's file:
 #   bench/footprint.sh ROUNDS PROGRAM...
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -14,7 +14,7 @@
         until curl -sf http://127.0.0.1:8443/healthz >/dev/null; do sleep 0.002; done
         ready=$(date +%s%N)
         awk -v p="$program" -v ms="$(((ready - start) / 1000))" \
-            '/VmRSS/ {rss = $2} /RssAnon/ {anon = $2} END {printf "%-28s resident %6d kB, of it private %6d kB, ready after %.1f ms\n", p, rss, anon, ms / 1000}' \
+            '/VmRSS/ {rss = $2} /RssAnon/ {anon = $2} END {printf "%-28s resident %6d kB, anonymous %6d kB, ready after %.1f ms\n", p, rss, anon, ms / 1000}' \
             "/proc/$pid/status"
         kill "$pid"
         wait "$pid" || true
--- a/bench/module.cpp
+++ b/bench/module.cpp
@@ -1,6 +1,7 @@
-// CPU of the decision module for a request, from its event to its answer, by the size of the fleet; 30% of
-// the requests are new objects. One shard a node. Uses only what every version of the module has, so that
-// bench/compare.sh can set two of them side by side.
+// Measures the CPU time of the decision module per request, from the request event to its outcome, by the
+// number of nodes. Each node has a shard of its own; 30% of the requests are for new objects. Uses only the
+// part of the interface that all versions of the module share, so that bench/compare.sh can compare two of
+// them.
 #include <benchmark/benchmark.h>
 #include <limedrum/scheduler.h>
 
@@ -11,65 +12,67 @@
 
 namespace {
 
-Settings settings() {
-    Settings s;
-    s.classes.push_back({.aimMs = 300, .deadlineMs = 2000, .worth = 3, .lateWorth = 0.15});
-    s.plans.push_back({.rate = 10, .reserve = 2});
-    s.rules = {.answerSlackMs = 8, .drainGraceMs = 1000};
-    s.meanUnits = 2;
-    s.maxUnits = 8;
-    s.attemptCap = 3;
-    s.mayCancel = true;
-    return s;
+Settings makeSettings() {
+    Settings settings;
+    settings.classes.push_back({.aimMs = 300, .deadlineMs = 2000, .worth = 3, .lateWorth = 0.15});
+    settings.plans.push_back({.rate = 10, .reserve = 2});
+    settings.rules = {.answerSlackMs = 8, .drainGraceMs = 1000};
+    settings.meanUnits = 2;
+    settings.maxUnits = 8;
+    settings.attemptCap = 3;
+    settings.mayCancel = true;
+    return settings;
 }
 
-// As a program would drive it: requests come at 2 a second and node, answers 20 ms later, reminders in
-// between.
+// Drives the module as a program does: two requests per second and node, outcomes 20 ms after the request,
+// and timer events in between.
 void request(benchmark::State& state) {
     const int nodes = static_cast<int>(state.range(0));
-    Scheduler scheduler(settings(), 1, 1'000'000);
+    Scheduler scheduler(makeSettings(), 1, 1'000'000);
     NodeListEvent list{NodeListKind::restored, {}};
     for (int i = 0; i < nodes; ++i) list.entries.push_back({.node = NodeId(1000 + i), .shard = i});
     Event event = list;
     (void)scheduler.handle(1'000'000, std::span(&event, 1));
     std::mt19937_64 random(7);
-    const double gapMs = 1000.0 / (2.0 * nodes);
+    const double intervalMs = 1000.0 / (2.0 * nodes);
     double nowMs = 1'000'001;
-    std::uint64_t next = 0;
-    std::vector<std::pair<double, OutcomeEvent>> flying;  // by time
-    std::size_t done = 0;
-    double reminderMs = nowMs;
+    std::uint64_t requestCount = 0;
+    std::vector<std::pair<double, OutcomeEvent>> outcomes;  // by time in ms
+    std::size_t deliveredOutcomes = 0;
+    double lastTimerMs = nowMs;
     for (auto _ : state) {
-        nowMs += gapMs;
-        RequestEvent r;
-        r.id = "r" + std::to_string(++next);
-        r.volume = "v" + std::to_string(random() % (static_cast<unsigned>(nodes) * 8));
-        r.key = std::to_string(random() % 100'000);
-        r.expiresMs = nowMs + 2000;
-        r.units = 1 + static_cast<double>(random() % 3);
-        r.shard = random() % 10 < 3 ? -1 : static_cast<int>(random() % static_cast<unsigned>(nodes));
-        event = r;
+        nowMs += intervalMs;
+        RequestEvent arrival;
+        arrival.id = "r" + std::to_string(++requestCount);
+        arrival.volume = "v" + std::to_string(random() % (static_cast<unsigned>(nodes) * 8));
+        arrival.key = std::to_string(random() % 100'000);
+        arrival.expiresMs = nowMs + 2000;
+        arrival.units = 1 + static_cast<double>(random() % 3);
+        arrival.shard = random() % 10 < 3 ? -1 : static_cast<int>(random() % static_cast<unsigned>(nodes));
+        event = arrival;
         for (const Action& action : scheduler.handle(nowMs, std::span(&event, 1))) {
             if (const auto* send = std::get_if<SendAttempt>(&action))
-                flying.emplace_back(nowMs + 20, OutcomeEvent{.id = send->id,
-                                                             .attempt = 0,
-                                                             .node = send->node,
-                                                             .outcome = Outcome::done,
-                                                             .durationMs = 20,
-                                                             .requestFinished = true});
+                outcomes.emplace_back(nowMs + 20, OutcomeEvent{.id = send->id,
+                                                               .attempt = 0,
+                                                               .node = send->node,
+                                                               .outcome = Outcome::done,
+                                                               .durationMs = 20,
+                                                               .requestFinished = true});
         }
-        for (; done < flying.size() && flying[done].first <= nowMs; ++done) {
-            event = flying[done].second;
-            benchmark::DoNotOptimize(scheduler.handle(flying[done].first, std::span(&event, 1)));
+        for (; deliveredOutcomes < outcomes.size() && outcomes[deliveredOutcomes].first <= nowMs;
+             ++deliveredOutcomes) {
+            event = outcomes[deliveredOutcomes].second;
+            benchmark::DoNotOptimize(
+                scheduler.handle(outcomes[deliveredOutcomes].first, std::span(&event, 1)));
         }
-        if (nowMs - reminderMs >= 10) {
-            reminderMs = nowMs;
+        if (nowMs - lastTimerMs >= 10) {
+            lastTimerMs = nowMs;
             event = TimerFiredEvent{1};
             benchmark::DoNotOptimize(scheduler.handle(nowMs, std::span(&event, 1)));
         }
     }
 }
-// Several rounds of 2 s at each size: their end is part of the cost.
+// The iterations at each size span several rounds of 2 s, so that the work at the end of a round is included.
 BENCHMARK(request)->Arg(10)->Iterations(4000);
 BENCHMARK(request)->Arg(100)->Iterations(40'000);
 BENCHMARK(request)->Arg(1000)->Iterations(100'000);
