--- a/bench/module.cpp
+++ b/bench/module.cpp
@@ -1,7 +1,6 @@
 // Measures the CPU time of the decision module per request, from the request event to its outcome, by the
-// number of nodes. Each node has a shard of its own; 30% of the requests are for new objects. Uses only the
-// part of the interface that all versions of the module share, so that bench/compare.sh can compare two of
-// them.
+// number of nodes. Each node has a shard of its own; 30% of the requests are for new objects. Uses only
+// the basic part of the interface, so that bench/compare.sh can build it against other commits of the module.
 #include <benchmark/benchmark.h>
 #include <limedrum/scheduler.h>
 
