--- a/src/nbd/codec.cpp
+++ b/src/nbd/codec.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kSimpleMagic = 0x67446698;
 constexpr std::uint32_t kChunkMagic = 0x668e33ef;
 constexpr std::uint16_t kInfoExport = 0, kInfoBlockSizes = 3;
-constexpr std::size_t kOldZeroes = 124;
+constexpr std::size_t kExportNamePaddingBytes = 124;  // zeroes after the reply to EXPORT_NAME
 
 template <std::unsigned_integral Number>
 void put(std::string& out, Number value) {
@@ -58,7 +58,8 @@
     return true;
 }
 
-/// What a message begins with shows at once whether it can be one.
+/// Compares as much of `magic` as has arrived, so that other input is rejected before a whole header is
+/// there.
 bool mayBegin(std::string_view in, const std::string& magic) {
     return in.substr(0, magic.size()) == std::string_view(magic).substr(0, in.size());
 }
@@ -87,7 +88,7 @@
     return join(static_cast<std::uint32_t>(name.size())) + name;
 }
 std::string encodeExportNameReply(const ExportInfo& i, bool zeroes) {
-    return join(i.size, i.flags) + std::string(zeroes ? kOldZeroes : 0, '\0');
+    return join(i.size, i.flags) + std::string(zeroes ? kExportNamePaddingBytes : 0, '\0');
 }
 
 DecodeResult decode(std::string_view& in, Greeting& out) {
@@ -220,7 +221,7 @@
     }
     if ((static_cast<std::uint16_t>(chunk.type) & kChunkErrorBit) == 0) return false;
     const auto error = decodeError(in);
-    if (error && !error_) error_ = error;  // the first one says what went wrong
+    if (error && !error_) error_ = error;
     return error.has_value();
 }
 
--- a/src/nbd/codec.h
+++ b/src/nbd/codec.h
@@ -1,5 +1,8 @@
-// NBD's messages (fixed newstyle handshake, transmission with simple and structured replies) as values, both
-// ways. Pure: no sockets. A take() leaves `in` as it was where more bytes are needed.
+// Encodes and decodes NBD messages: the fixed newstyle handshake, and transmission with simple and structured
+// replies. Does no I/O.
+//
+// The decode functions remove one message from the front of `in`. On DecodeResult::needMore, `in` is left
+// unchanged, while `out` may be partly filled.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +17,9 @@
 
 // ---- Handshake ----
 
-inline constexpr std::uint16_t kFixedNewstyle = 1, kNoZeroes = 2;  // the server's, and the client's
+inline constexpr std::uint16_t kFixedNewstyle = 1, kNoZeroes = 2;  // handshake flags of both sides
 inline constexpr std::uint16_t kExportHasFlags = 1, kExportReadOnly = 2,
-                               kExportSendDf = 1 << 7;  // of an export
+                               kExportSendDf = 1 << 7;  // transmission flags
 
 enum class Option : std::uint32_t {
     exportName = 1,
@@ -50,7 +53,7 @@
     OptionReplyType type{};
     std::string data;
 };
-/// The data of INFO and GO.
+/// The data of the options INFO and GO.
 struct InfoRequest {
     std::string name;
     std::vector<std::uint16_t> infoTypes;
@@ -64,19 +67,24 @@
 [[nodiscard]] std::string encodeClientFlags(std::uint32_t flags);
 [[nodiscard]] std::string encode(const OptionMessage& message);
 [[nodiscard]] std::string encode(const OptionReplyMessage& answer);
-[[nodiscard]] std::string encode(const InfoRequest& request);        ///< as data
-[[nodiscard]] std::string encodeExportInfo(const ExportInfo& info);  ///< as data of an info reply
-[[nodiscard]] std::string encodeBlockSizes(std::uint32_t most);      ///< as data of an info reply
-[[nodiscard]] std::string encodeListEntry(const std::string& name);  ///< as data of a server reply
-[[nodiscard]] std::string encodeExportNameReply(const ExportInfo& info,
-                                                bool zeroes);  ///< the answer to EXPORT_NAME
+/// Returns the data of an INFO or GO option.
+[[nodiscard]] std::string encode(const InfoRequest& request);
+/// Returns the data of an option reply of type `info`.
+[[nodiscard]] std::string encodeExportInfo(const ExportInfo& info);
+/// Returns the data of an option reply of type `info`; `most` is the largest block size, in bytes.
+[[nodiscard]] std::string encodeBlockSizes(std::uint32_t most);
+/// Returns the data of an option reply of type `server`.
+[[nodiscard]] std::string encodeListEntry(const std::string& name);
+/// Returns the reply to the option EXPORT_NAME. `zeroes`: whether the padding follows it.
+[[nodiscard]] std::string encodeExportNameReply(const ExportInfo& info, bool zeroes);
 
 [[nodiscard]] DecodeResult decode(std::string_view& in, Greeting& out);
 [[nodiscard]] DecodeResult decodeClientFlags(std::string_view& in, std::uint32_t& out);
+/// Messages with more than `most` bytes of data are malformed.
 [[nodiscard]] DecodeResult decode(std::string_view& in, OptionMessage& out, std::size_t most);
 [[nodiscard]] DecodeResult decode(std::string_view& in, OptionReplyMessage& out, std::size_t most);
 [[nodiscard]] std::optional<InfoRequest> decodeInfoRequest(std::string_view data);
-/// Nothing for an info of another kind.
+/// Returns std::nullopt for info of another type than NBD_INFO_EXPORT, and for malformed data.
 [[nodiscard]] std::optional<ExportInfo> decodeExportInfo(std::string_view data);
 
 // ---- Transmission ----
@@ -101,7 +109,7 @@
     std::uint64_t cookie = 0;
     std::uint64_t offset = 0;
     std::uint32_t length = 0;
-    std::string data;  ///< of a write
+    std::string data;  ///< the payload of a write
 };
 struct SimpleReply {
     Error error{};
@@ -121,24 +129,32 @@
 [[nodiscard]] std::string encode(const CommandMessage& message);
 [[nodiscard]] std::string encode(const SimpleReply& reply);
 [[nodiscard]] std::string encode(const ChunkMessage& chunk);
-[[nodiscard]] std::string encodeError(const ErrorChunk& error);                     ///< as payload
-[[nodiscard]] std::string encodeData(std::uint64_t offset, std::string_view data);  ///< as payload
-[[nodiscard]] std::string encodeHole(std::uint64_t offset, std::uint32_t length);   ///< as payload
-
-/// A write longer than `most` comes without its data: the connection cannot go on after it.
+/// Returns the payload of an error chunk.
+[[nodiscard]] std::string encodeError(const ErrorChunk& error);
+/// Returns the payload of a data chunk.
+[[nodiscard]] std::string encodeData(std::uint64_t offset, std::string_view data);
+/// Returns the payload of a hole chunk.
+[[nodiscard]] std::string encodeHole(std::uint64_t offset, std::uint32_t length);
+
+/// Decodes a write longer than `most` bytes without its data and leaves the data in `in`, so no further
+/// command can be read from that connection.
 [[nodiscard]] DecodeResult decode(std::string_view& in, CommandMessage& out, std::size_t most);
 [[nodiscard]] DecodeResult decode(std::string_view& in, SimpleReply& out);
+/// Chunks with a payload of more than `most` bytes are malformed.
 [[nodiscard]] DecodeResult decode(std::string_view& in, ChunkMessage& out, std::size_t most);
+/// Returns std::nullopt if the payload is malformed or its error code is 0.
 [[nodiscard]] std::optional<ErrorChunk> decodeError(std::string_view payload);
 
-/// Puts the chunks of one read together. Each byte may come once.
+/// Assembles the chunks of a structured reply to one read, in any order. Each byte may be sent only once.
 class ReadAssembler {
 public:
     ReadAssembler(std::uint64_t offset, std::uint32_t length, std::size_t mostChunks);
-    /// False: the chunk is out of place, twice there, or one too many.
+    /// Returns false if the chunk is malformed, lies outside the read, overlaps another chunk, or exceeds
+    /// `mostChunks`.
     [[nodiscard]] bool add(const ChunkMessage& chunk);
     [[nodiscard]] bool isComplete() const { return missingBytes_ == 0; }
     [[nodiscard]] std::string& data() { return data_; }
+    /// The first error chunk.
     [[nodiscard]] const std::optional<ErrorChunk>& error() const { return error_; }
 
 private:
--- a/src/nbd/front.cpp
+++ b/src/nbd/front.cpp
@@ -14,7 +14,6 @@
 namespace martencove::nbd {
 namespace {
 
-/// The text of a refusal says when to come back.
 std::string refusalText(double retryAfterMs) {
     if (retryAfterMs <= 0) return "refused, never ran: come back at any time";
     char text[80];
@@ -26,7 +25,7 @@
 
 class NbdRequestHandler;
 
-/// One client's connection: the handshake, then commands, several at a time.
+/// A client connection. Performs the handshake, then processes several commands concurrently.
 class Session {
 public:
     Session(Front& front, evutil_socket_t fd)
@@ -40,10 +39,10 @@
         writeBytes(encode(Greeting{kFixedNewstyle | kNoZeroes}));
     }
 
-    /// The server ends: what is open is finished first.
+    /// Refuses further commands and closes the connection once the accepted ones are answered.
     void startShutdown() {
         if (state_ == State::clientFlags) return closeWhenDone();
-        if (state_ != State::commands) return;  // the next option is told so
+        if (state_ != State::commands) return;  // the next option is answered with a shutdown error
         const bool idle =
             requests_.empty() && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
         if (idle) replyMayBeInFlight_ = false;
@@ -79,8 +78,8 @@
     static void onEvent(bufferevent*, short, void* arg) { static_cast<Session*>(arg)->handleDisconnect(); }
 
     void processInput() {
-        // An answer given within the call that took its command asks for more: the loop below goes on anyhow,
-        // and a second one would take the same bytes twice.
+        // A command may be answered inside submit(), and the answer resumes input. The nested call returns
+        // here, as it would process the same bytes a second time.
         if (processingInput_) return;
         processingInput_ = true;
         evbuffer* input = bufferevent_get_input(socket_.get());
@@ -99,8 +98,9 @@
         setReadingPaused(evbuffer_get_length(input) >= most);
     }
 
-    // While so much waits for its turn, no more is read from the socket, and a close behind it does not show.
-    // (A high watermark of libevent's instead calls back again and again, without a rest.)
+    // Stops reading from the socket while too much unprocessed input is buffered. A disconnect is not
+    // reported meanwhile, so a timer polls for it. A libevent high watermark is not used because it calls
+    // back in a busy loop.
     void setReadingPaused(bool on) {
         if (std::exchange(readingPaused_, on) == on) return;
         on ? bufferevent_disable(socket_.get(), EV_READ) : bufferevent_enable(socket_.get(), EV_READ);
@@ -115,7 +115,7 @@
         disconnectCheckTimer_.start(front_.limits_.readAheadCheckIntervalMs);
     }
 
-    // A client that sends faster than it is served, or does not read, waits: its bytes stay in its socket.
+    // Applies backpressure to clients that send faster than they are served or do not read their replies.
     bool mayProcessMore() const {
         return state_ != State::closing && !closed_ &&
                requests_.size() < front_.limits_.maxNbdCommandsInFlight &&
@@ -151,8 +151,7 @@
         switch (message.option) {
             case Option::exportName: {
                 export_ = front_.config_.findExport(message.data);
-                if (export_ == nullptr)
-                    return DecodeResult::malformed;  // this option has no answer for it but the close
+                if (export_ == nullptr) return DecodeResult::malformed;  // EXPORT_NAME has no error reply
                 writeBytes(encodeExportNameReply(exportInfo(*export_), sendZeroes_));
                 startTransmission();
                 return got;
@@ -216,9 +215,9 @@
         front_.log_.warn("nbd client", why);
         handleDisconnect();
     }
-    /// The connection is no more: what is open has no client.
+    /// Cancels the open requests and removes the session.
     void handleDisconnect();
-    /// No more commands; the connection closes once all is answered and written.
+    /// Accepts no more commands, and closes the connection once all replies are written.
     void closeWhenDone() {
         handshakeTimer_.stop();
         state_ = State::closing;
@@ -231,8 +230,8 @@
         if (state_ != State::closing) return;
         if (evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0) front_.removeSession(*this);
     }
-    // At a shutdown each command that has come is told that it never ran. A client that goes on and on is
-    // ended.
+    // During a shutdown each command that has arrived is refused as never run. The number of refusals is
+    // limited so that a client that keeps sending cannot delay the exit.
     bool hasUnreadCommands() const {
         if (shutdownRefusals_ >= front_.limits_.maxNbdRefusalsAtShutdown) return false;
         int waiting = 0;
@@ -249,15 +248,15 @@
     bool structuredReplies_ = false;
     bool closed_ = false;
     bool processingInput_ = false;
-    bool readingPaused_ = false;  // no more is read from the socket
+    bool readingPaused_ = false;
     std::size_t optionCount_ = 0;
-    std::size_t shutdownRefusals_ = 0;  // commands
-    bool replyMayBeInFlight_ = false;   // its last reply may still be on its way
+    std::size_t shutdownRefusals_ = 0;  // commands refused during shutdown
+    bool replyMayBeInFlight_ = false;   // a reply may be written but not yet delivered
     const NbdExport* export_ = nullptr;
     std::set<NbdRequestHandler*> requests_;
 };
 
-/// A command, until it is answered or its client is gone.
+/// Handles one command until it is answered or its client disconnects.
 class NbdRequestHandler final : public RequestHandler {
 public:
     NbdRequestHandler(Front& front, Session& session, RequestId id, const NbdExport& from,
@@ -326,12 +325,12 @@
     }
 
     Front& front_;
-    Session* session_;  // null: answered, or the client is gone
+    Session* session_;  // null once answered or disconnected
     RequestId id_;
     const NbdExport& export_;
     CommandMessage command_;
     NodeReply servedReply_;
-    std::map<int, std::unique_ptr<InFlightRequest<NbdNodeConnection>>> exchanges_;  // by attempt
+    std::map<int, std::unique_ptr<InFlightRequest<NbdNodeConnection>>> exchanges_;  // by attempt number
 };
 
 void Session::sendReply(std::uint64_t cookie, Error error, const std::string& text, std::uint64_t offset,
@@ -361,7 +360,7 @@
     const bool write = message.command == Command::write;
     if (write && message.length > front_.limits_.maxRequestBodyBytes) {
         refuse(Error::invalid, "write longer than the largest block");
-        closeWhenDone();  // its data cannot be told from what follows
+        closeWhenDone();  // the unread data cannot be separated from later commands
         return got;
     }
     if (front_.shuttingDown_) {
@@ -468,6 +467,7 @@
     session.handshakeTimer_.stop();
     session.disconnectCheckTimer_.stop();
     bufferevent_disable(session.socket_.get(), EV_READ | EV_WRITE);
+    // Closing a socket with unread input resets the connection and loses replies in flight.
     if (!byItsClient && session.replyMayBeInFlight_)
         lingeringCloses_.add(addReference(session.socket_.get()));
     closedSessions_.push_back(std::move(at->second));
--- a/src/nbd/front.h
+++ b/src/nbd/front.h
@@ -1,4 +1,5 @@
-// The NBD front: clients' reads and writes on the operator's exports, to the dispatcher and back.
+// The NBD server: passes clients' reads and writes on the configured exports to the dispatcher, and its
+// answers back to the clients.
 #pragma once
 
 #include <map>
@@ -17,24 +18,26 @@
 
 class Session;
 
+/// Listens for NBD clients and owns their sessions.
 class Front {
 public:
-    /// Throws std::runtime_error where the operator's address cannot be bound.
-    /// `listener`: a socket that listens there already; -1: it binds one.
+    /// `listener` is an inherited socket that already listens on `config.listen`, or -1 to bind a new one.
+    /// Throws std::runtime_error if the address cannot be bound.
     Front(event_base* base, NbdConfig config, Dispatcher& dispatcher, NbdNodeConnectionPool& pool,
           const Limits& limits, Log& log, int listener = -1);
     ~Front();
     Front(const Front&) = delete;
     Front& operator=(const Front&) = delete;
 
-    /// -1: closed.
+    /// Returns -1 once the listener is closed.
     [[nodiscard]] int listenerFd() const;
-    /// New connections wait in the listener's queue until open().
+    /// Leaves new connections in the listener's queue until resumeAccepting().
     void pauseAccepting();
     void resumeAccepting();
-    /// Takes no new connections; handshakes end with "shutting down", commands taken are finished.
+    /// Closes the listener, ends handshakes with a shutdown error, and lets accepted commands finish.
     void startShutdown();
-    /// After close(): whether all that was taken is answered and the answers have left.
+    /// Returns whether all accepted commands are answered and the answers delivered. Sessions in the
+    /// handshake do not count. Call after startShutdown().
     [[nodiscard]] bool isDrained() const;
 
 private:
@@ -54,10 +57,10 @@
     Log& log_;
     LingeringCloses lingeringCloses_;
     bool shuttingDown_ = false;
-    std::uint64_t lastRequestNumber_ = 0;  // names the requests
+    std::uint64_t lastRequestNumber_ = 0;  // part of the request ids
     std::map<Session*, std::unique_ptr<Session>> sessions_;
-    std::vector<std::unique_ptr<Session>>
-        closedSessions_;  // freed from the loop, never from their own callbacks
+    // Sessions are freed from a timer because removeSession() may run inside one of their callbacks.
+    std::vector<std::unique_ptr<Session>> closedSessions_;
     Timer freeSessionsTimer_;
     std::unique_ptr<evconnlistener, ListenerDeleter> listener_;
 };
--- a/src/nbd/node_connection.cpp
+++ b/src/nbd/node_connection.cpp
@@ -46,7 +46,7 @@
     if (got != DecodeResult::complete) return got;
     if (answer.option != (state_ == State::structuredReply ? Option::structuredReply : Option::go))
         return DecodeResult::malformed;
-    if (answer.type == OptionReplyType::shutdown) {  // it drains: nothing ran here
+    if (answer.type == OptionReplyType::shutdown) {  // the node is shutting down: the command has not run
         finishCommand(AttemptStatus::rejected);
         return got;
     }
@@ -77,7 +77,8 @@
                                      command_.offset, command_.length, command_.data}));
 }
 
-// A write may be answered simply even where structured replies were agreed on.
+// A server may send a simple reply to a write even if structured replies were negotiated. 0x67 is the first
+// byte of the simple reply's magic.
 DecodeResult NbdNodeConnection::handleReply(std::string_view& in) {
     const bool simpleComes = command_.isWrite && in.substr(0, 1) == "\x67";
     return structuredReplies_ && !simpleComes ? handleReplyChunk(in) : handleSimpleReply(in);
@@ -101,7 +102,8 @@
 
 DecodeResult NbdNodeConnection::handleReplyChunk(std::string_view& in) {
     ChunkMessage chunk;
-    const DecodeResult got = decode(in, chunk, limits_.maxRequestBodyBytes + 64);
+    const DecodeResult got =
+        decode(in, chunk, limits_.maxRequestBodyBytes + 64);  // room for the fields beside the data
     if (got != DecodeResult::complete) return got;
     if (chunk.cookie != cookie_ || !readAssembler_->add(chunk)) return DecodeResult::malformed;
     if ((chunk.flags & kReplyFlagDone) == 0) return got;
@@ -110,7 +112,8 @@
     return got;
 }
 
-// A node that shuts down has not run the command; of one that says it has no room that is sure for reads.
+// A node that replies "shutdown" has not run the command. After "no memory" a write may have run, so only a
+// read counts as rejected.
 AttemptStatus NbdNodeConnection::attemptStatus(Error error) const {
     if (error == Error::none) return AttemptStatus::served;
     const bool declined = error == Error::shutdown || (error == Error::noMemory && !command_.isWrite);
--- a/src/nbd/node_connection.h
+++ b/src/nbd/node_connection.h
@@ -1,4 +1,4 @@
-// Commands to storage nodes that speak NBD.
+// Sends read and write commands to storage nodes over NBD.
 #pragma once
 
 #include <optional>
@@ -14,15 +14,15 @@
     bool isWrite = false;
     std::uint64_t offset = 0;
     std::uint32_t length = 0;
-    std::string data;  ///< of a write
+    std::string data;  ///< the payload of a write
 };
 
-/// A connection to a node's export: its handshake, then one command at a time.
+/// A connection to an export of a node. Performs the handshake, then sends one command at a time.
 class NbdNodeConnection final : public NodeConnection {
 public:
     using Work = nbd::NodeCommand;
     static constexpr const char* kOpenedCounter = "nbd_node_connection_opened";
-    static constexpr bool kCanPreconnect = false;  // its handshake is part of the first one's
+    static constexpr bool kCanPreconnect = false;  // the handshake names the export of the first command
 
     NbdNodeConnection(event_base* base, const Address& node, const Work& work, const Limits& limits,
                       Counters& counters)
