--- a/src/nbd/codec.cpp
+++ b/src/nbd/codec.cpp
@@ -66,29 +66,31 @@
 
 }  // namespace
 
-std::string encode(const Greeting& g) { return join(kHello, kOptionMagic, g.flags); }
+std::string encode(const Greeting& greeting) { return join(kHello, kOptionMagic, greeting.flags); }
 std::string encodeClientFlags(std::uint32_t flags) { return join(flags); }
-std::string encode(const OptionMessage& m) {
-    return join(kOptionMagic, m.option, static_cast<std::uint32_t>(m.data.size())) + m.data;
+std::string encode(const OptionMessage& message) {
+    return join(kOptionMagic, message.option, static_cast<std::uint32_t>(message.data.size())) + message.data;
 }
-std::string encode(const OptionReplyMessage& a) {
-    return join(kAnswerMagic, a.option, a.type, static_cast<std::uint32_t>(a.data.size())) + a.data;
+std::string encode(const OptionReplyMessage& reply) {
+    return join(kAnswerMagic, reply.option, reply.type, static_cast<std::uint32_t>(reply.data.size())) +
+           reply.data;
 }
-std::string encode(const InfoRequest& r) {
-    std::string out = join(static_cast<std::uint32_t>(r.name.size())) + r.name;
-    put(out, static_cast<std::uint16_t>(r.infoTypes.size()));
-    for (const std::uint16_t kind : r.infoTypes) put(out, kind);
+std::string encode(const InfoRequest& request) {
+    std::string out = join(static_cast<std::uint32_t>(request.name.size())) + request.name;
+    put(out, static_cast<std::uint16_t>(request.infoTypes.size()));
+    for (const std::uint16_t type : request.infoTypes) put(out, type);
     return out;
 }
-std::string encodeExportInfo(const ExportInfo& i) { return join(kInfoExport, i.size, i.flags); }
-std::string encodeBlockSizes(std::uint32_t most) {
-    return join(kInfoBlockSizes, std::uint32_t{1}, std::min<std::uint32_t>(4096, most), most);
+std::string encodeExportInfo(const ExportInfo& info) { return join(kInfoExport, info.size, info.flags); }
+std::string encodeBlockSizes(std::uint32_t maxBlockBytes) {
+    return join(kInfoBlockSizes, std::uint32_t{1}, std::min<std::uint32_t>(4096, maxBlockBytes),
+                maxBlockBytes);
 }
 std::string encodeListEntry(const std::string& name) {
     return join(static_cast<std::uint32_t>(name.size())) + name;
 }
-std::string encodeExportNameReply(const ExportInfo& i, bool zeroes) {
-    return join(i.size, i.flags) + std::string(zeroes ? kExportNamePaddingBytes : 0, '\0');
+std::string encodeExportNameReply(const ExportInfo& info, bool zeroes) {
+    return join(info.size, info.flags) + std::string(zeroes ? kExportNamePaddingBytes : 0, '\0');
 }
 
 DecodeResult decode(std::string_view& in, Greeting& out) {
@@ -102,24 +104,24 @@
 DecodeResult decodeClientFlags(std::string_view& in, std::uint32_t& out) {
     return get(in, out) ? DecodeResult::complete : DecodeResult::needMore;
 }
-DecodeResult decode(std::string_view& in, OptionMessage& out, std::size_t most) {
+DecodeResult decode(std::string_view& in, OptionMessage& out, std::size_t maxBytes) {
     std::string_view rest = in;
     if (!mayBegin(in, join(kOptionMagic))) return DecodeResult::malformed;
     std::uint64_t magic = 0;
     std::uint32_t size = 0;
     if (!getAll(rest, magic, out.option, size)) return DecodeResult::needMore;
-    if (size > most) return DecodeResult::malformed;
+    if (size > maxBytes) return DecodeResult::malformed;
     if (!getText(rest, size, out.data)) return DecodeResult::needMore;
     in = rest;
     return DecodeResult::complete;
 }
-DecodeResult decode(std::string_view& in, OptionReplyMessage& out, std::size_t most) {
+DecodeResult decode(std::string_view& in, OptionReplyMessage& out, std::size_t maxBytes) {
     std::string_view rest = in;
     if (!mayBegin(in, join(kAnswerMagic))) return DecodeResult::malformed;
     std::uint64_t magic = 0;
     std::uint32_t size = 0;
     if (!getAll(rest, magic, out.option, out.type, size)) return DecodeResult::needMore;
-    if (size > most) return DecodeResult::malformed;
+    if (size > maxBytes) return DecodeResult::malformed;
     if (!getText(rest, size, out.data)) return DecodeResult::needMore;
     in = rest;
     return DecodeResult::complete;
@@ -132,39 +134,42 @@
         data.size() != sizeof(std::uint16_t) * count)
         return std::nullopt;
     out.infoTypes.resize(count);
-    for (std::uint16_t& kind : out.infoTypes) (void)get(data, kind);
+    for (std::uint16_t& type : out.infoTypes) (void)get(data, type);
     return out;
 }
 std::optional<ExportInfo> decodeExportInfo(std::string_view data) {
-    std::uint16_t kind = 0;
+    std::uint16_t type = 0;
     ExportInfo out;
-    if (!getAll(data, kind, out.size, out.flags) || kind != kInfoExport || !data.empty()) return std::nullopt;
+    if (!getAll(data, type, out.size, out.flags) || type != kInfoExport || !data.empty()) return std::nullopt;
     return out;
 }
 
-std::string encode(const CommandMessage& m) {
-    return join(kCommandMagic, m.flags, m.command, m.cookie, m.offset, m.length) + m.data;
+std::string encode(const CommandMessage& message) {
+    return join(kCommandMagic, message.flags, message.command, message.cookie, message.offset,
+                message.length) +
+           message.data;
 }
-std::string encode(const SimpleReply& r) { return join(kSimpleMagic, r.error, r.cookie); }
-std::string encode(const ChunkMessage& c) {
-    return join(kChunkMagic, c.flags, c.type, c.cookie, static_cast<std::uint32_t>(c.payload.size())) +
-           c.payload;
+std::string encode(const SimpleReply& reply) { return join(kSimpleMagic, reply.error, reply.cookie); }
+std::string encode(const ChunkMessage& chunk) {
+    return join(kChunkMagic, chunk.flags, chunk.type, chunk.cookie,
+                static_cast<std::uint32_t>(chunk.payload.size())) +
+           chunk.payload;
 }
-std::string encodeError(const ErrorChunk& e) {
-    return join(e.error, static_cast<std::uint16_t>(e.text.size())) + e.text;
+std::string encodeError(const ErrorChunk& error) {
+    return join(error.error, static_cast<std::uint16_t>(error.text.size())) + error.text;
 }
 std::string encodeData(std::uint64_t offset, std::string_view data) { return join(offset).append(data); }
 std::string encodeHole(std::uint64_t offset, std::uint32_t length) { return join(offset, length); }
 
-DecodeResult decode(std::string_view& in, CommandMessage& out, std::size_t most) {
+DecodeResult decode(std::string_view& in, CommandMessage& out, std::size_t maxBytes) {
     std::string_view rest = in;
     if (!mayBegin(in, join(kCommandMagic))) return DecodeResult::malformed;
     std::uint32_t magic = 0;
     if (!getAll(rest, magic, out.flags, out.command, out.cookie, out.offset, out.length))
         return DecodeResult::needMore;
     out.data.clear();
-    const bool data = out.command == Command::write && out.length <= most;
-    if (data && !getText(rest, out.length, out.data)) return DecodeResult::needMore;
+    const bool hasData = out.command == Command::write && out.length <= maxBytes;
+    if (hasData && !getText(rest, out.length, out.data)) return DecodeResult::needMore;
     in = rest;
     return DecodeResult::complete;
 }
@@ -176,12 +181,12 @@
     in = rest;
     return DecodeResult::complete;
 }
-DecodeResult decode(std::string_view& in, ChunkMessage& out, std::size_t most) {
+DecodeResult decode(std::string_view& in, ChunkMessage& out, std::size_t maxBytes) {
     std::string_view rest = in;
     if (!mayBegin(in, join(kChunkMagic))) return DecodeResult::malformed;
     std::uint32_t magic = 0, size = 0;
     if (!getAll(rest, magic, out.flags, out.type, out.cookie, size)) return DecodeResult::needMore;
-    if (size > most) return DecodeResult::malformed;
+    if (size > maxBytes) return DecodeResult::malformed;
     if (!getText(rest, size, out.payload)) return DecodeResult::needMore;
     in = rest;
     return DecodeResult::complete;
@@ -194,12 +199,12 @@
     return out;
 }
 
-ReadAssembler::ReadAssembler(std::uint64_t offset, std::uint32_t length, std::size_t mostChunks)
+ReadAssembler::ReadAssembler(std::uint64_t offset, std::uint32_t length, std::size_t maxChunks)
     : offset_(offset),
       data_(length, '\0'),
       received_(length),
       missingBytes_(length),
-      chunksLeft_(mostChunks) {}
+      chunksLeft_(maxChunks) {}
 
 bool ReadAssembler::add(const ChunkMessage& chunk) {
     if (chunksLeft_ == 0) return false;
@@ -225,14 +230,14 @@
     return error.has_value();
 }
 
-bool ReadAssembler::fillRange(std::uint64_t offset, std::uint64_t length, const char* from) {
+bool ReadAssembler::fillRange(std::uint64_t offset, std::uint64_t length, const char* source) {
     if (offset < offset_ || offset - offset_ > data_.size() || length > data_.size() - (offset - offset_))
         return false;
-    const auto at = static_cast<std::ptrdiff_t>(offset - offset_);
-    const auto first = received_.begin() + at, last = first + static_cast<std::ptrdiff_t>(length);
+    const auto start = static_cast<std::ptrdiff_t>(offset - offset_);
+    const auto first = received_.begin() + start, last = first + static_cast<std::ptrdiff_t>(length);
     if (std::find(first, last, true) != last) return false;
     std::fill(first, last, true);
-    if (from != nullptr) std::copy_n(from, length, data_.begin() + at);
+    if (source != nullptr) std::copy_n(source, length, data_.begin() + start);
     missingBytes_ -= length;
     return true;
 }
--- a/src/nbd/codec.h
+++ b/src/nbd/codec.h
@@ -66,13 +66,13 @@
 [[nodiscard]] std::string encode(const Greeting& greeting);
 [[nodiscard]] std::string encodeClientFlags(std::uint32_t flags);
 [[nodiscard]] std::string encode(const OptionMessage& message);
-[[nodiscard]] std::string encode(const OptionReplyMessage& answer);
+[[nodiscard]] std::string encode(const OptionReplyMessage& reply);
 /// Returns the data of an INFO or GO option.
 [[nodiscard]] std::string encode(const InfoRequest& request);
 /// Returns the data of an option reply of type `info`.
 [[nodiscard]] std::string encodeExportInfo(const ExportInfo& info);
-/// Returns the data of an option reply of type `info`; `most` is the largest block size, in bytes.
-[[nodiscard]] std::string encodeBlockSizes(std::uint32_t most);
+/// Returns the data of an option reply of type `info`; `maxBlockBytes` is the largest block size.
+[[nodiscard]] std::string encodeBlockSizes(std::uint32_t maxBlockBytes);
 /// Returns the data of an option reply of type `server`.
 [[nodiscard]] std::string encodeListEntry(const std::string& name);
 /// Returns the reply to the option EXPORT_NAME. `zeroes`: whether the padding follows it.
@@ -80,9 +80,9 @@
 
 [[nodiscard]] DecodeResult decode(std::string_view& in, Greeting& out);
 [[nodiscard]] DecodeResult decodeClientFlags(std::string_view& in, std::uint32_t& out);
-/// Messages with more than `most` bytes of data are malformed.
-[[nodiscard]] DecodeResult decode(std::string_view& in, OptionMessage& out, std::size_t most);
-[[nodiscard]] DecodeResult decode(std::string_view& in, OptionReplyMessage& out, std::size_t most);
+/// Messages with more than `maxBytes` of data are malformed.
+[[nodiscard]] DecodeResult decode(std::string_view& in, OptionMessage& out, std::size_t maxBytes);
+[[nodiscard]] DecodeResult decode(std::string_view& in, OptionReplyMessage& out, std::size_t maxBytes);
 [[nodiscard]] std::optional<InfoRequest> decodeInfoRequest(std::string_view data);
 /// Returns std::nullopt for info of another type than NBD_INFO_EXPORT, and for malformed data.
 [[nodiscard]] std::optional<ExportInfo> decodeExportInfo(std::string_view data);
@@ -136,21 +136,21 @@
 /// Returns the payload of a hole chunk.
 [[nodiscard]] std::string encodeHole(std::uint64_t offset, std::uint32_t length);
 
-/// Decodes a write longer than `most` bytes without its data and leaves the data in `in`, so no further
+/// Decodes a write longer than `maxBytes` without its data and leaves the data in `in`, so no further
 /// command can be read from that connection.
-[[nodiscard]] DecodeResult decode(std::string_view& in, CommandMessage& out, std::size_t most);
+[[nodiscard]] DecodeResult decode(std::string_view& in, CommandMessage& out, std::size_t maxBytes);
 [[nodiscard]] DecodeResult decode(std::string_view& in, SimpleReply& out);
-/// Chunks with a payload of more than `most` bytes are malformed.
-[[nodiscard]] DecodeResult decode(std::string_view& in, ChunkMessage& out, std::size_t most);
+/// Chunks with a payload of more than `maxBytes` are malformed.
+[[nodiscard]] DecodeResult decode(std::string_view& in, ChunkMessage& out, std::size_t maxBytes);
 /// Returns std::nullopt if the payload is malformed or its error code is 0.
 [[nodiscard]] std::optional<ErrorChunk> decodeError(std::string_view payload);
 
 /// Assembles the chunks of a structured reply to one read, in any order. Each byte may be sent only once.
 class ReadAssembler {
 public:
-    ReadAssembler(std::uint64_t offset, std::uint32_t length, std::size_t mostChunks);
+    ReadAssembler(std::uint64_t offset, std::uint32_t length, std::size_t maxChunks);
     /// Returns false if the chunk is malformed, lies outside the read, overlaps another chunk, or exceeds
-    /// `mostChunks`.
+    /// `maxChunks`.
     [[nodiscard]] bool add(const ChunkMessage& chunk);
     [[nodiscard]] bool isComplete() const { return missingBytes_ == 0; }
     [[nodiscard]] std::string& data() { return data_; }
@@ -158,7 +158,7 @@
     [[nodiscard]] const std::optional<ErrorChunk>& error() const { return error_; }
 
 private:
-    [[nodiscard]] bool fillRange(std::uint64_t offset, std::uint64_t length, const char* from);
+    [[nodiscard]] bool fillRange(std::uint64_t offset, std::uint64_t length, const char* source);
 
     std::uint64_t offset_;
     std::string data_;
--- a/src/nbd/front.cpp
+++ b/src/nbd/front.cpp
@@ -53,7 +53,7 @@
     void sendReply(std::uint64_t cookie, Error error, const std::string& text, std::uint64_t offset,
                    std::string_view data);
     bool inHandshake() const { return state_ == State::clientFlags || state_ == State::options; }
-    void removeRequest(NbdRequestHandler* job) { requests_.erase(job); }
+    void removeRequest(NbdRequestHandler* handler) { requests_.erase(handler); }
     void resumeInput() {
         processInput();
         closeIfDone();
@@ -83,19 +83,19 @@
         if (processingInput_) return;
         processingInput_ = true;
         evbuffer* input = bufferevent_get_input(socket_.get());
-        DecodeResult got = DecodeResult::complete;
-        while (got == DecodeResult::complete && mayProcessMore()) {
+        DecodeResult result = DecodeResult::complete;
+        while (result == DecodeResult::complete && mayProcessMore()) {
             const std::size_t size = evbuffer_get_length(input);
             if (size == 0) break;
             std::string_view rest(reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size);
-            got = handleMessage(rest);
+            result = handleMessage(rest);
             evbuffer_drain(input, size - rest.size());
         }
         processingInput_ = false;
-        if (got == DecodeResult::malformed) return rejectClient("malformed message");
+        if (result == DecodeResult::malformed) return rejectClient("malformed message");
         if (closed_) return;
-        const std::size_t most = 2 * front_.limits_.maxRequestBodyBytes;
-        setReadingPaused(evbuffer_get_length(input) >= most);
+        const std::size_t maxBufferedBytes = 2 * front_.limits_.maxRequestBodyBytes;
+        setReadingPaused(evbuffer_get_length(input) >= maxBufferedBytes);
     }
 
     // Stops reading from the socket while too much unprocessed input is buffered. A disconnect is not
@@ -109,8 +109,8 @@
     }
 
     void checkDisconnected() {
-        pollfd look{bufferevent_getfd(socket_.get()), POLLRDHUP, 0};
-        if (poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0)
+        pollfd pollEntry{bufferevent_getfd(socket_.get()), POLLRDHUP, 0};
+        if (poll(&pollEntry, 1, 0) > 0 && (pollEntry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0)
             return handleDisconnect();
         disconnectCheckTimer_.start(front_.limits_.readAheadCheckIntervalMs);
     }
@@ -126,27 +126,27 @@
         if (state_ == State::options) return handleOption(in);
         if (state_ == State::commands) return handleCommand(in);
         std::uint32_t flags = 0;
-        const DecodeResult got = decodeClientFlags(in, flags);
-        if (got != DecodeResult::complete) return got;
+        const DecodeResult result = decodeClientFlags(in, flags);
+        if (result != DecodeResult::complete) return result;
         if ((flags & ~std::uint32_t{kFixedNewstyle | kNoZeroes}) != 0 || (flags & kFixedNewstyle) == 0)
             return DecodeResult::malformed;
         sendZeroes_ = (flags & kNoZeroes) == 0;
         state_ = State::options;
-        return got;
+        return result;
     }
 
     DecodeResult handleOption(std::string_view& in) {
         OptionMessage message;
-        const DecodeResult got = decode(in, message, front_.limits_.maxNbdOptionBytes);
-        if (got != DecodeResult::complete) return got;
+        const DecodeResult result = decode(in, message, front_.limits_.maxNbdOptionBytes);
+        if (result != DecodeResult::complete) return result;
         if (++optionCount_ > front_.limits_.maxNbdOptions) return DecodeResult::malformed;
-        const auto say = [&](OptionReplyType reply, const std::string& data = "") {
-            writeBytes(encode(OptionReplyMessage{message.option, reply, data}));
+        const auto sendOptionReply = [&](OptionReplyType type, const std::string& data = "") {
+            writeBytes(encode(OptionReplyMessage{message.option, type, data}));
         };
         if (front_.shuttingDown_ && message.option != Option::abort) {
-            if (message.option != Option::exportName) say(OptionReplyType::shutdown);
+            if (message.option != Option::exportName) sendOptionReply(OptionReplyType::shutdown);
             closeWhenDone();
-            return got;
+            return result;
         }
         switch (message.option) {
             case Option::exportName: {
@@ -154,48 +154,49 @@
                 if (export_ == nullptr) return DecodeResult::malformed;  // EXPORT_NAME has no error reply
                 writeBytes(encodeExportNameReply(exportInfo(*export_), sendZeroes_));
                 startTransmission();
-                return got;
+                return result;
             }
             case Option::abort:
-                say(OptionReplyType::ack);
+                sendOptionReply(OptionReplyType::ack);
                 closeWhenDone();
-                return got;
+                return result;
             case Option::list:
-                if (!message.data.empty()) return say(OptionReplyType::invalid), got;
-                for (const NbdExport& e : front_.config_.exports)
-                    say(OptionReplyType::server, encodeListEntry(e.name));
-                say(OptionReplyType::ack);
-                return got;
+                if (!message.data.empty()) return sendOptionReply(OptionReplyType::invalid), result;
+                for (const NbdExport& nbdExport : front_.config_.exports)
+                    sendOptionReply(OptionReplyType::server, encodeListEntry(nbdExport.name));
+                sendOptionReply(OptionReplyType::ack);
+                return result;
             case Option::structuredReply:
-                if (!message.data.empty()) return say(OptionReplyType::invalid), got;
+                if (!message.data.empty()) return sendOptionReply(OptionReplyType::invalid), result;
                 structuredReplies_ = true;
-                say(OptionReplyType::ack);
-                return got;
+                sendOptionReply(OptionReplyType::ack);
+                return result;
             case Option::info:
             case Option::go: {
                 const auto request = decodeInfoRequest(message.data);
-                if (!request) return say(OptionReplyType::invalid), got;
-                const NbdExport* found = front_.config_.findExport(request->name);
-                if (found == nullptr) return say(OptionReplyType::unknown), got;
-                say(OptionReplyType::info, encodeExportInfo(exportInfo(*found)));
-                say(OptionReplyType::info,
+                if (!request) return sendOptionReply(OptionReplyType::invalid), result;
+                const NbdExport* nbdExport = front_.config_.findExport(request->name);
+                if (nbdExport == nullptr) return sendOptionReply(OptionReplyType::unknown), result;
+                sendOptionReply(OptionReplyType::info, encodeExportInfo(exportInfo(*nbdExport)));
+                sendOptionReply(
+                    OptionReplyType::info,
                     encodeBlockSizes(static_cast<std::uint32_t>(front_.limits_.maxRequestBodyBytes)));
-                say(OptionReplyType::ack);
+                sendOptionReply(OptionReplyType::ack);
                 if (message.option == Option::go) {
-                    export_ = found;
+                    export_ = nbdExport;
                     startTransmission();
                 }
-                return got;
+                return result;
             }
         }
-        say(OptionReplyType::unsupported);
-        return got;
+        sendOptionReply(OptionReplyType::unsupported);
+        return result;
     }
 
-    ExportInfo exportInfo(const NbdExport& e) const {
-        const std::uint16_t flags =
-            kExportHasFlags | (e.readOnly ? kExportReadOnly : 0) | (structuredReplies_ ? kExportSendDf : 0);
-        return {e.sizeBytes, flags};
+    ExportInfo exportInfo(const NbdExport& nbdExport) const {
+        const std::uint16_t flags = kExportHasFlags | (nbdExport.readOnly ? kExportReadOnly : 0) |
+                                    (structuredReplies_ ? kExportSendDf : 0);
+        return {nbdExport.sizeBytes, flags};
     }
 
     void startTransmission() {
@@ -210,9 +211,9 @@
         bufferevent_write(socket_.get(), bytes.data(), bytes.size());
     }
 
-    void rejectClient(const std::string& why) {
+    void rejectClient(const std::string& reason) {
         front_.dispatcher_.counters().add("nbd_client_bad");
-        front_.log_.warn("nbd client", why);
+        front_.log_.warn("nbd client", reason);
         handleDisconnect();
     }
     /// Cancels the open requests and removes the session.
@@ -234,8 +235,9 @@
     // limited so that a client that keeps sending cannot delay the exit.
     bool hasUnreadCommands() const {
         if (shutdownRefusals_ >= front_.limits_.maxNbdRefusalsAtShutdown) return false;
-        int waiting = 0;
-        if (ioctl(bufferevent_getfd(socket_.get()), FIONREAD, &waiting) == 0 && waiting > 0) return true;
+        int unreadBytes = 0;
+        if (ioctl(bufferevent_getfd(socket_.get()), FIONREAD, &unreadBytes) == 0 && unreadBytes > 0)
+            return true;
         return !mayProcessMore() && evbuffer_get_length(bufferevent_get_input(socket_.get())) > 0;
     }
 
@@ -259,12 +261,12 @@
 /// Handles one command until it is answered or its client disconnects.
 class NbdRequestHandler final : public RequestHandler {
 public:
-    NbdRequestHandler(Front& front, Session& session, RequestId id, const NbdExport& from,
+    NbdRequestHandler(Front& front, Session& session, RequestId id, const NbdExport& nbdExport,
                       CommandMessage command)
         : front_(front),
           session_(&session),
           id_(std::move(id)),
-          export_(from),
+          export_(nbdExport),
           command_(std::move(command)) {}
 
     ~NbdRequestHandler() override {
@@ -278,32 +280,32 @@
 
     void sendAttempt(const Attempt& attempt, const NodeEntry& node) override {
         const int number = attempt.number;
-        const auto at = front_.config_.nodeAddresses.find(node.name);
-        std::unique_ptr<InFlightRequest<NbdNodeConnection>> exchange;
-        if (at != front_.config_.nodeAddresses.end()) {
-            const NodeCommand work{export_.name, command_.command == Command::write, command_.offset,
-                                   command_.length, command_.data};
-            exchange = front_.pool_.send(at->second, work, attempt.timeouts, [this, number](NodeReply reply) {
-                onAttemptReply(number, std::move(reply));
-            });
+        const auto address = front_.config_.nodeAddresses.find(node.name);
+        std::unique_ptr<InFlightRequest<NbdNodeConnection>> inFlight;
+        if (address != front_.config_.nodeAddresses.end()) {
+            const NodeCommand command{export_.name, command_.command == Command::write, command_.offset,
+                                      command_.length, command_.data};
+            inFlight = front_.pool_.send(
+                address->second, command, attempt.timeouts,
+                [this, number](NodeReply reply) { onAttemptReply(number, std::move(reply)); });
         }
-        if (!exchange)
+        if (!inFlight)
             return front_.dispatcher_.attemptEnded(RequestId(id_), number, AttemptStatus::notConnected);
-        exchanges_[number] = std::move(exchange);
+        inFlightRequests_[number] = std::move(inFlight);
     }
 
-    void cancelAttempt(int attempt) override { exchanges_.erase(attempt); }
-    bool cancelIfUnsent(int attempt) override { return eraseIfUnsent(exchanges_, attempt); }
+    void cancelAttempt(int attempt) override { inFlightRequests_.erase(attempt); }
+    bool cancelIfUnsent(int attempt) override { return eraseIfUnsent(inFlightRequests_, attempt); }
 
     void sendAnswer(const Answer& answer) override {
         Session* session = std::exchange(session_, nullptr);
         if (session == nullptr) return;
         session->removeRequest(this);
-        const bool read = command_.command == Command::read;
+        const bool isRead = command_.command == Command::read;
         switch (answer.status) {
             case AnswerStatus::served:
                 session->sendReply(command_.cookie, Error::none, "", command_.offset,
-                                   read ? servedReply_.body : "");
+                                   isRead ? servedReply_.body : "");
                 break;
             case AnswerStatus::refused:
                 session->sendReply(command_.cookie, Error::noMemory, refusalText(answer.retryAfterMs), 0, "");
@@ -317,11 +319,11 @@
 
 private:
     void onAttemptReply(int attempt, NodeReply reply) {
-        const AttemptStatus ending = reply.status;
-        if (ending == AttemptStatus::served && servedReply_.status != AttemptStatus::served)
+        const AttemptStatus status = reply.status;
+        if (status == AttemptStatus::served && servedReply_.status != AttemptStatus::served)
             servedReply_ = std::move(reply);
-        exchanges_.erase(attempt);
-        front_.dispatcher_.attemptEnded(RequestId(id_), attempt, ending);
+        inFlightRequests_.erase(attempt);
+        front_.dispatcher_.attemptEnded(RequestId(id_), attempt, status);
     }
 
     Front& front_;
@@ -330,7 +332,8 @@
     const NbdExport& export_;
     CommandMessage command_;
     NodeReply servedReply_;
-    std::map<int, std::unique_ptr<InFlightRequest<NbdNodeConnection>>> exchanges_;  // by attempt number
+    std::map<int, std::unique_ptr<InFlightRequest<NbdNodeConnection>>>
+        inFlightRequests_;  // by attempt number
 };
 
 void Session::sendReply(std::uint64_t cookie, Error error, const std::string& text, std::uint64_t offset,
@@ -346,61 +349,63 @@
 
 DecodeResult Session::handleCommand(std::string_view& in) {
     CommandMessage message;
-    const DecodeResult got = decode(in, message, front_.limits_.maxRequestBodyBytes);
-    if (got != DecodeResult::complete) return got;
+    const DecodeResult result = decode(in, message, front_.limits_.maxRequestBodyBytes);
+    if (result != DecodeResult::complete) return result;
     if (message.command == Command::disconnect) {
         closeWhenDone();
-        return got;
+        return result;
     }
     const auto refuse = [&](Error error, const std::string& text) {
         front_.dispatcher_.counters().add("nbd_command_invalid");
         sendReply(message.cookie, error, text, 0, "");
-        return got;
+        return result;
     };
-    const bool write = message.command == Command::write;
-    if (write && message.length > front_.limits_.maxRequestBodyBytes) {
+    const bool isWrite = message.command == Command::write;
+    if (isWrite && message.length > front_.limits_.maxRequestBodyBytes) {
         refuse(Error::invalid, "write longer than the largest block");
         closeWhenDone();  // the unread data cannot be separated from later commands
-        return got;
+        return result;
     }
     if (front_.shuttingDown_) {
         ++shutdownRefusals_;
         return refuse(Error::shutdown, "shutting down, never ran");
     }
-    if (!write && message.command != Command::read) return refuse(Error::invalid, "command not offered");
+    if (!isWrite && message.command != Command::read) return refuse(Error::invalid, "command not offered");
     if ((message.flags & ~(structuredReplies_ ? kCommandFlagDf : 0)) != 0)
         return refuse(Error::invalid, "flag not offered");
-    if (write && export_->readOnly) return refuse(Error::invalid, "the export is read-only");
+    if (isWrite && export_->readOnly) return refuse(Error::invalid, "the export is read-only");
     if (message.length == 0 || message.length > front_.limits_.maxRequestBodyBytes)
         return refuse(Error::invalid, "length not allowed");
     if (message.offset > export_->sizeBytes || message.length > export_->sizeBytes - message.offset)
-        return refuse(write ? Error::noSpace : Error::invalid, "beyond the export's end");
-
-    Request r;
-    r.id = "nbd-" + std::to_string(++front_.lastRequestNumber_);
-    r.classNo = write ? export_->writeClassNo : export_->readClassNo;
-    r.planNo = export_->planNo;
-    r.piece = export_->name + '@' + std::to_string(message.offset);
-    r.volume = export_->volume;
-    r.expiresMs = front_.dispatcher_.nowMs() + (write ? export_->writeDeadlineMs : export_->readDeadlineMs);
-    r.units = std::ceil(message.length / front_.config_.unitBytes);
-    r.shard = export_->shard;
-    r.hostsOfVolume = export_->hostsOfVolume;
+        return refuse(isWrite ? Error::noSpace : Error::invalid, "beyond the export's end");
+
+    Request request;
+    request.id = "nbd-" + std::to_string(++front_.lastRequestNumber_);
+    request.classNo = isWrite ? export_->writeClassNo : export_->readClassNo;
+    request.planNo = export_->planNo;
+    request.piece = export_->name + '@' + std::to_string(message.offset);
+    request.volume = export_->volume;
+    request.expiresMs =
+        front_.dispatcher_.nowMs() + (isWrite ? export_->writeDeadlineMs : export_->readDeadlineMs);
+    request.units = std::ceil(message.length / front_.config_.unitBytes);
+    request.shard = export_->shard;
+    request.hostsOfVolume = export_->hostsOfVolume;
     const std::uint64_t cookie = message.cookie;
-    const auto job = std::make_shared<NbdRequestHandler>(front_, *this, r.id, *export_, std::move(message));
-    requests_.insert(job.get());
-    if (front_.dispatcher_.submit(r, job)) return got;
-    requests_.erase(job.get());
+    const auto handler =
+        std::make_shared<NbdRequestHandler>(front_, *this, request.id, *export_, std::move(message));
+    requests_.insert(handler.get());
+    if (front_.dispatcher_.submit(request, handler)) return result;
+    requests_.erase(handler.get());
     front_.dispatcher_.counters().add("request_not_taken");
     sendReply(cookie, Error::noMemory, refusalText(front_.limits_.overloadRetryAfterMs), 0, "");
-    return got;
+    return result;
 }
 
 void Session::handleDisconnect() {
     if (std::exchange(closed_, true)) return;
-    for (NbdRequestHandler* job : std::exchange(requests_, {})) {
-        job->detachSession();
-        front_.dispatcher_.clientDisconnected(RequestId(job->id()));
+    for (NbdRequestHandler* handler : std::exchange(requests_, {})) {
+        handler->detachSession();
+        front_.dispatcher_.clientDisconnected(RequestId(handler->id()));
     }
     front_.removeSession(*this);
 }
@@ -457,21 +462,21 @@
 bool Front::isDrained() const {
     return lingeringCloses_.allDelivered() &&
            std::all_of(sessions_.begin(), sessions_.end(),
-                       [](const auto& e) { return e.second->inHandshake(); });
+                       [](const auto& entry) { return entry.second->inHandshake(); });
 }
 
 void Front::removeSession(Session& session) {
-    const auto at = sessions_.find(&session);
-    if (at == sessions_.end()) return;
-    const bool byItsClient = std::exchange(session.closed_, true);
+    const auto it = sessions_.find(&session);
+    if (it == sessions_.end()) return;
+    const bool closedByClient = std::exchange(session.closed_, true);
     session.handshakeTimer_.stop();
     session.disconnectCheckTimer_.stop();
     bufferevent_disable(session.socket_.get(), EV_READ | EV_WRITE);
     // Closing a socket with unread input resets the connection and loses replies in flight.
-    if (!byItsClient && session.replyMayBeInFlight_)
+    if (!closedByClient && session.replyMayBeInFlight_)
         lingeringCloses_.add(addReference(session.socket_.get()));
-    closedSessions_.push_back(std::move(at->second));
-    sessions_.erase(at);
+    closedSessions_.push_back(std::move(it->second));
+    sessions_.erase(it);
     freeSessionsTimer_.start(0);
 }
 
--- a/src/nbd/node_connection.cpp
+++ b/src/nbd/node_connection.cpp
@@ -2,17 +2,17 @@
 
 namespace martencove::nbd {
 
-void NbdNodeConnection::start(const Work& work, const AttemptTimeouts& times, DoneCallback over) {
-    command_ = work;
+void NbdNodeConnection::start(const Work& command, const AttemptTimeouts& timeouts, DoneCallback done) {
+    command_ = command;
     commandFinished_ = false;
-    beginRequest(times, std::move(over));
+    beginRequest(timeouts, std::move(done));
     if (state_ == State::ready) sendCommand();
 }
 
 void NbdNodeConnection::onData(std::string_view& in) {
-    DecodeResult got = DecodeResult::complete;
-    while (got == DecodeResult::complete && !commandFinished_ && !in.empty()) got = handleMessage(in);
-    if (got != DecodeResult::malformed) return;
+    DecodeResult result = DecodeResult::complete;
+    while (result == DecodeResult::complete && !commandFinished_ && !in.empty()) result = handleMessage(in);
+    if (result != DecodeResult::malformed) return;
     counters_.add("nbd_node_bad");
     failInvalidReply();
 }
@@ -32,42 +32,42 @@
 
 DecodeResult NbdNodeConnection::handleGreeting(std::string_view& in) {
     Greeting greeting;
-    const DecodeResult got = decode(in, greeting);
-    if (got != DecodeResult::complete) return got;
+    const DecodeResult result = decode(in, greeting);
+    if (result != DecodeResult::complete) return result;
     state_ = State::structuredReply;
     write(encodeClientFlags(kFixedNewstyle | (greeting.flags & kNoZeroes)) +
           encode(OptionMessage{Option::structuredReply, ""}));
-    return got;
+    return result;
 }
 
 DecodeResult NbdNodeConnection::handleOptionReply(std::string_view& in) {
-    OptionReplyMessage answer;
-    const DecodeResult got = decode(in, answer, limits_.maxNbdOptionBytes);
-    if (got != DecodeResult::complete) return got;
-    if (answer.option != (state_ == State::structuredReply ? Option::structuredReply : Option::go))
+    OptionReplyMessage reply;
+    const DecodeResult result = decode(in, reply, limits_.maxNbdOptionBytes);
+    if (result != DecodeResult::complete) return result;
+    if (reply.option != (state_ == State::structuredReply ? Option::structuredReply : Option::go))
         return DecodeResult::malformed;
-    if (answer.type == OptionReplyType::shutdown) {  // the node is shutting down: the command has not run
+    if (reply.type == OptionReplyType::shutdown) {  // the node is shutting down: the command has not run
         finishCommand(AttemptStatus::rejected);
-        return got;
+        return result;
     }
     if (state_ == State::structuredReply) {
-        structuredReplies_ = answer.type == OptionReplyType::ack;
+        structuredReplies_ = reply.type == OptionReplyType::ack;
         state_ = State::go;
         write(encode(OptionMessage{Option::go, encode(InfoRequest{exportName_, {}})}));
-        return got;
+        return result;
     }
-    if (answer.type == OptionReplyType::info) {
-        if (const auto info = decodeExportInfo(answer.data)) exportSize_ = info->size;
-        return got;
+    if (reply.type == OptionReplyType::info) {
+        if (const auto info = decodeExportInfo(reply.data)) exportSize_ = info->size;
+        return result;
     }
-    if (answer.type != OptionReplyType::ack) return DecodeResult::malformed;
+    if (reply.type != OptionReplyType::ack) return DecodeResult::malformed;
     if (command_.offset + command_.length > exportSize_) {
         finishCommand(AttemptStatus::notConnected);
-        return got;
+        return result;
     }
     state_ = State::ready;
     sendCommand();
-    return got;
+    return result;
 }
 
 void NbdNodeConnection::sendCommand() {
@@ -80,15 +80,15 @@
 // A server may send a simple reply to a write even if structured replies were negotiated. 0x67 is the first
 // byte of the simple reply's magic.
 DecodeResult NbdNodeConnection::handleReply(std::string_view& in) {
-    const bool simpleComes = command_.isWrite && in.substr(0, 1) == "\x67";
-    return structuredReplies_ && !simpleComes ? handleReplyChunk(in) : handleSimpleReply(in);
+    const bool isSimpleReply = command_.isWrite && in.substr(0, 1) == "\x67";
+    return structuredReplies_ && !isSimpleReply ? handleReplyChunk(in) : handleSimpleReply(in);
 }
 
 DecodeResult NbdNodeConnection::handleSimpleReply(std::string_view& in) {
     std::string_view rest = in;
     SimpleReply reply;
-    const DecodeResult got = decode(rest, reply);
-    if (got != DecodeResult::complete) return got;
+    const DecodeResult result = decode(rest, reply);
+    if (result != DecodeResult::complete) return result;
     if (reply.cookie != cookie_) return DecodeResult::malformed;
     if (reply.error == Error::none && !command_.isWrite) {
         if (rest.size() < command_.length) return DecodeResult::needMore;
@@ -97,33 +97,33 @@
     }
     in = rest;
     finishCommand(attemptStatus(reply.error));
-    return got;
+    return result;
 }
 
 DecodeResult NbdNodeConnection::handleReplyChunk(std::string_view& in) {
     ChunkMessage chunk;
-    const DecodeResult got =
+    const DecodeResult result =
         decode(in, chunk, limits_.maxRequestBodyBytes + 64);  // room for the fields beside the data
-    if (got != DecodeResult::complete) return got;
+    if (result != DecodeResult::complete) return result;
     if (chunk.cookie != cookie_ || !readAssembler_->add(chunk)) return DecodeResult::malformed;
-    if ((chunk.flags & kReplyFlagDone) == 0) return got;
+    if ((chunk.flags & kReplyFlagDone) == 0) return result;
     if (!readAssembler_->error() && !readAssembler_->isComplete()) return DecodeResult::malformed;
     finishCommand(attemptStatus(readAssembler_->error() ? readAssembler_->error()->error : Error::none));
-    return got;
+    return result;
 }
 
 // A node that replies "shutdown" has not run the command. After "no memory" a write may have run, so only a
 // read counts as rejected.
 AttemptStatus NbdNodeConnection::attemptStatus(Error error) const {
     if (error == Error::none) return AttemptStatus::served;
-    const bool declined = error == Error::shutdown || (error == Error::noMemory && !command_.isWrite);
-    return declined ? AttemptStatus::rejected : AttemptStatus::error;
+    const bool rejected = error == Error::shutdown || (error == Error::noMemory && !command_.isWrite);
+    return rejected ? AttemptStatus::rejected : AttemptStatus::error;
 }
 
-void NbdNodeConnection::finishCommand(AttemptStatus ending) {
+void NbdNodeConnection::finishCommand(AttemptStatus status) {
     commandFinished_ = true;
-    NodeReply reply{ending, {}, {}};
-    if (ending == AttemptStatus::served && !command_.isWrite) reply.body = std::move(readAssembler_->data());
+    NodeReply reply{status, {}, {}};
+    if (status == AttemptStatus::served && !command_.isWrite) reply.body = std::move(readAssembler_->data());
     setReply(std::move(reply), state_ == State::ready);
 }
 
--- a/src/nbd/node_connection.h
+++ b/src/nbd/node_connection.h
@@ -24,14 +24,14 @@
     static constexpr const char* kOpenedCounter = "nbd_node_connection_opened";
     static constexpr bool kCanPreconnect = false;  // the handshake names the export of the first command
 
-    NbdNodeConnection(event_base* base, const Address& node, const Work& work, const Limits& limits,
+    NbdNodeConnection(event_base* base, const Address& node, const Work& command, const Limits& limits,
                       Counters& counters)
-        : NodeConnection(base, node, limits, counters), exportName_(work.exportName) {}
+        : NodeConnection(base, node, limits, counters), exportName_(command.exportName) {}
 
-    [[nodiscard]] bool matches(const Address& to, const Work& work) const {
-        return address() == to && exportName_ == work.exportName;
+    [[nodiscard]] bool matches(const Address& to, const Work& command) const {
+        return address() == to && exportName_ == command.exportName;
     }
-    void start(const Work& work, const AttemptTimeouts& times, DoneCallback over);
+    void start(const Work& command, const AttemptTimeouts& timeouts, DoneCallback done);
 
 private:
     enum class State { greeting, structuredReply, go, ready };
@@ -44,7 +44,7 @@
     DecodeResult handleSimpleReply(std::string_view& in);
     DecodeResult handleReplyChunk(std::string_view& in);
     void sendCommand();
-    void finishCommand(AttemptStatus ending);
+    void finishCommand(AttemptStatus status);
     AttemptStatus attemptStatus(Error error) const;
 
     std::string exportName_;
