--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -23,43 +23,47 @@
     if (!parsed) throwFieldError(name, "not an address: '" + text + "'");
     return *parsed;
 }
-enum class First { variables, file };
-
-/// Of a variable and the file's value the one that goes first, else the other.
-std::string told(const Json& json, First first, const char* var, const char* field) {
-    const std::string value = variable(var);
+/// Which source wins if a value is set in both.
+enum class Precedence { variables, file };
+
+/// Returns the value of an environment variable or of the file's field, whichever takes precedence and is
+/// set.
+std::string stringSetting(const Json& json, Precedence precedence, const char* variableName,
+                          const char* field) {
+    const std::string value = variable(variableName);
     const bool inFile = findField(json, field) != nullptr;
-    return value.empty() || (first == First::file && inFile) ? getString(requireField(json, field), field)
-                                                             : value;
+    return value.empty() || (precedence == Precedence::file && inFile)
+               ? getString(requireField(json, field), field)
+               : value;
 }
 
-std::uint64_t seedOf(const std::string& hex) {
-    std::size_t used = 0;
+std::uint64_t parseSeed(const std::string& hex) {
+    std::size_t parsedChars = 0;
     std::uint64_t value = 0;
     try {
-        value = std::stoull(hex, &used, 16);
+        value = std::stoull(hex, &parsedChars, 16);
     } catch (const std::exception&) {
-        used = 0;
+        parsedChars = 0;
     }
-    if (used == 0 || used != hex.size()) throwFieldError("seed", "not a hex number");
+    if (parsedChars == 0 || parsedChars != hex.size()) throwFieldError("seed", "not a hex number");
     return value;
 }
 
-std::size_t count(const Json& json, const char* name, std::size_t otherwise, int least) {
-    const int value = getInt(json, name, static_cast<int>(otherwise));
-    if (value < least) throwFieldError(name, "below " + std::to_string(least));
+std::size_t getCount(const Json& json, const char* name, std::size_t defaultValue, int minValue) {
+    const int value = getInt(json, name, static_cast<int>(defaultValue));
+    if (value < minValue) throwFieldError(name, "below " + std::to_string(minValue));
     return static_cast<std::size_t>(value);
 }
 
-Config decode(const Json& json, First first) {
+Config decode(const Json& json, Precedence precedence) {
     Config out;
-    out.name = told(json, first, "NODE_NAME", "name");
-    out.listen = address(told(json, first, "NODE_LISTEN", "listen"), "listen");
+    out.name = stringSetting(json, precedence, "NODE_NAME", "name");
+    out.listen = address(stringSetting(json, precedence, "NODE_LISTEN", "listen"), "listen");
     if (!variable("NODE_DISCOVERY").empty() || findField(json, "discovery") != nullptr)
-        out.discovery = address(told(json, first, "NODE_DISCOVERY", "discovery"), "discovery");
+        out.discovery = address(stringSetting(json, precedence, "NODE_DISCOVERY", "discovery"), "discovery");
     if (!variable("NODE_OPS").empty() || findField(json, "ops") != nullptr)
-        out.ops = address(told(json, first, "NODE_OPS", "ops"), "ops");
-    out.seed = seedOf(getString(requireField(json, "seed"), "seed"));
+        out.ops = address(stringSetting(json, precedence, "NODE_OPS", "ops"), "ops");
+    out.seed = parseSeed(getString(requireField(json, "seed"), "seed"));
     if (const Json* listen = findField(json, "peer_listen")) {
         out.peerListen = address(getString(*listen, "peer_listen"), "peer_listen");
         for (const Json& peer : getArray(requireField(json, "peers"), "peers"))
@@ -73,26 +77,27 @@
     }
 
     Limits& limits = out.limits;
-    limits.maxDescriptors = count(getObject(json, "limits"), "sockets", limits.maxDescriptors, 64);
+    limits.maxDescriptors = getCount(getObject(json, "limits"), "sockets", limits.maxDescriptors, 64);
     limits.reservedDescriptors = std::min(limits.reservedDescriptors, limits.maxDescriptors / 4);
-    // A quarter of the memory for answers on their way, and an eighth of that for one of them.
-    const std::size_t megabytes = count(getObject(json, "limits"), "memory_mb", 32, 16);
+    // A quarter of the memory is for buffered answers, and an eighth of that for each of them.
+    const std::size_t megabytes = getCount(getObject(json, "limits"), "memory_mb", 32, 16);
     limits.maxAnswerMemoryBytes = megabytes * 1024 * 1024 / 4;
     limits.maxBufferedAnswerBytes = limits.maxAnswerMemoryBytes / 8;
-    // A list is decoded entry by entry: its text is what it costs.
+    // A list is decoded entry by entry, so its memory use is that of its text.
     limits.maxListBodyBytes = std::max(limits.maxListBodyBytes, megabytes * 1024 * 1024 / 8);
-    // Clients hold more connections than nodes, which take several requests on each. No more than a scored
-    // day allows at most.
-    const std::size_t both = std::min<std::size_t>(limits.maxDescriptors, 1024) - limits.reservedDescriptors;
-    limits.maxNodeConnections = both * 2 / 5;
-    limits.maxClientConnections = both - limits.maxNodeConnections;
+    // Clients get more connections than nodes, which take several requests on each. The platform allows at
+    // most 1024 descriptors.
+    const std::size_t maxConnections =
+        std::min<std::size_t>(limits.maxDescriptors, 1024) - limits.reservedDescriptors;
+    limits.maxNodeConnections = maxConnections * 2 / 5;
+    limits.maxClientConnections = maxConnections - limits.maxNodeConnections;
     limits.maxKeepAliveConnections = limits.maxClientConnections / 2;
     limits.maxLingeringConnections =
         std::min(limits.maxLingeringConnections, limits.maxClientConnections / 4);
-    // All clients together may have as much before them as answers that are held.
+    // The output buffers of all clients together may take as much memory as the buffered answers.
     limits.maxStreamBufferBytes = std::clamp<std::size_t>(
         limits.maxAnswerMemoryBytes / limits.maxClientConnections, 16 * 1024, limits.maxStreamBufferBytes);
-    // And half as much of what they send before its turn, each up to one largest request.
+    // Input that is read ahead may take half as much, up to one request of the largest size per client.
     limits.maxReadAheadBytes =
         std::clamp<std::size_t>(limits.maxAnswerMemoryBytes / 2 / limits.maxClientConnections,
                                 limits.maxHeaderBytes, limits.maxHeaderBytes + limits.maxRequestBodyBytes);
@@ -104,19 +109,20 @@
     limits.connectTimeoutMs = out.settings.connectTimeoutMs;
     limits.secondConnectDelayMs = limits.connectTimeoutMs / 4;
     limits.nodeIdleTimeoutMs = out.settings.nodeIdleTimeoutMs;
-    const limedrum::Settings& module = out.settings.scheduler;
-    const auto rests = [&](bool onRequest, double mustAskInMs) {
-        return makeRetryDelays(onRequest, module.hosts, mustAskInMs, limits.minDiscoveryRetryMs,
+    const limedrum::Settings& schedulerSettings = out.settings.scheduler;
+    const auto retryDelays = [&](bool onRequest, double mustAskInMs) {
+        return makeRetryDelays(onRequest, schedulerSettings.hosts, mustAskInMs, limits.minDiscoveryRetryMs,
                                limits.discoveryCallSpacingMs);
     };
-    limits.discoveryRetry = rests(module.nodeListOnRequest, module.rules.mustAskInMs);
-    limits.etcdRetry = rests(true, 0);
-    limits.listPushed = !module.nodeListOnRequest;
-    if (const double graceMs = module.rules.drainGraceMs; limits.listPushed && graceMs > 0) {
+    limits.discoveryRetry =
+        retryDelays(schedulerSettings.nodeListOnRequest, schedulerSettings.rules.mustAskInMs);
+    limits.etcdRetry = retryDelays(true, 0);
+    limits.listPushed = !schedulerSettings.nodeListOnRequest;
+    if (const double graceMs = schedulerSettings.rules.drainGraceMs; limits.listPushed && graceMs > 0) {
         limits.drainGrace = divideDrainGrace(graceMs, limits.minAgentAnswerTimeoutMs);
         limits.longPollMs = std::min(limits.longPollMs, limits.drainGrace.longPollMs);
         limits.longPollSlackMs = std::min(limits.longPollSlackMs, limits.drainGrace.answerTimeoutMs);
-        // Drawn from half to one and a half times their mean, and the same after each failure.
+        // Retry delays are drawn from 0.5 to 1.5 times their mean, which stays the same after each failure.
         limits.discoveryRetry.minMs = limits.discoveryRetry.maxMs =
             std::min(limits.discoveryRetry.minMs, limits.drainGrace.maxRetryDelayMs / 1.5);
         limits.firstListTimeoutMs = std::min(limits.firstListTimeoutMs, graceMs * 2 / 5);
@@ -124,15 +130,15 @@
         limits.onRequestList =
             divideOnRequestListTime(limits.listPropagationMs, graceMs, limits.longPollSlackMs);
         limits.longPollMs = std::min(limits.longPollMs, limits.onRequestList.longPollMs);
-        // Drawn up to one and a half times their mean.
+        // A retry delay is at most 1.5 times its mean.
         limits.discoveryRetry.initialMs =
             std::min(limits.discoveryRetry.initialMs, limits.onRequestList.maxRetryDelayMs);
         limits.discoveryRetry.maxMs =
             std::min(limits.discoveryRetry.maxMs, limits.onRequestList.maxRetryDelayMs / 1.5);
         limits.discoveryRetry.minMs = std::min(limits.discoveryRetry.minMs, limits.discoveryRetry.maxMs);
     }
-    for (const auto& c : out.settings.scheduler.classes)
-        limits.longestDeadlineMs = std::max(limits.longestDeadlineMs, c.deadlineMs);
+    for (const auto& requestClass : out.settings.scheduler.classes)
+        limits.longestDeadlineMs = std::max(limits.longestDeadlineMs, requestClass.deadlineMs);
     for (const char* field : {"name", "listen", "limits", "peer_listen", "ops"}) {
         if (const Json* value = findField(json, field)) out.startOnlyFields[field] = value->dump();
     }
@@ -141,11 +147,11 @@
     return out;
 }
 
-Config read(First first) {
+Config read(Precedence precedence) {
     const std::string path = variable("NODE_CONFIG");
     if (path.empty()) throw ConfigError("NODE_CONFIG: not set");
     try {
-        return decode(readJsonFile(path, "NODE_CONFIG"), first);
+        return decode(readJsonFile(path, "NODE_CONFIG"), precedence);
     } catch (const FieldError& error) {
         throw ConfigError(error.what());
     }
@@ -163,7 +169,7 @@
     return json;
 }
 
-Config readConfig() { return read(First::variables); }
-Config reloadConfig() { return read(First::file); }
+Config readConfig() { return read(Precedence::variables); }
+Config reloadConfig() { return read(Precedence::file); }
 
 }  // namespace martencove
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// What the program is told at its start: NODE_* variables and the JSON file they name.
+// The program's configuration: environment variables NODE_* and the JSON file named by NODE_CONFIG.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,8 @@
 
 namespace martencove {
 
-/// A value that is missing or makes no sense; the text begins with the field's name.
+/// Reports a missing or invalid value. The text begins with the field's name, or with the file's for the
+/// operator's file.
 class ConfigError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -25,25 +26,27 @@
 struct Config {
     std::string name;
     Address listen;
-    std::optional<Address> discovery;  ///< where storage nodes come from, unless the operator's file says
+    std::optional<Address> discovery;  ///< source of the node list unless the operator's file names another
     std::uint64_t seed = 0;
     std::optional<Address> peerListen;
-    std::optional<Address> ops;  ///< the second address, for operators' tools
-    std::vector<Address> peers;  ///< by their numbers in the settings
+    std::optional<Address> ops;  ///< HTTP address for operators' tools
+    std::vector<Address> peers;  ///< indexed by the peers' numbers in the settings
     NodeList knownNodes;
     limedrum::ProgramSettings settings;
     Limits limits;
-    nlohmann::json sourceJson;  ///< the file, less its list of nodes
-    /// What a running program cannot take over, as text by field: a change waits for the next start.
+    nlohmann::json sourceJson;  ///< the file without its list of nodes
+    /// Fields that a reload does not apply, with their values as JSON text.
     std::map<std::string, std::string> startOnlyFields;
 };
 
-/// Throws limedrum::fields::FieldError, beginning with `name`.
+/// Reads a file that holds a JSON object. Throws limedrum::fields::FieldError with a text that begins with
+/// `name`.
 [[nodiscard]] nlohmann::json readJsonFile(const std::string& path, const char* name);
 
-/// Reads `NODE_CONFIG` and the variables beside it, which go before the file's values. Throws ConfigError.
+/// Reads the configuration at startup. Environment variables override the file. Throws ConfigError.
 [[nodiscard]] Config readConfig();
-/// Reads the file again. It is newer than the variables beside it: its values go first.
+/// Reads the configuration again. The file overrides the environment variables because it is newer. Throws
+/// ConfigError.
 [[nodiscard]] Config reloadConfig();
 
 }  // namespace martencove
--- a/src/config/nbd_config.cpp
+++ b/src/config/nbd_config.cpp
@@ -3,8 +3,8 @@
 namespace martencove {
 
 const NbdExport* NbdConfig::findExport(const std::string& name) const {
-    for (const NbdExport& e : exports) {
-        if (e.name == name) return &e;
+    for (const NbdExport& nbdExport : exports) {
+        if (nbdExport.name == name) return &nbdExport;
     }
     return nullptr;
 }
--- a/src/config/nbd_config.h
+++ b/src/config/nbd_config.h
@@ -1,4 +1,4 @@
-// What the NBD front serves, from its section of the operator's file. Without it the front is off.
+// Settings of the NBD front, from its section of the operator's file. Without that section the front is off.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +10,7 @@
 
 namespace martencove {
 
+/// A block device that clients can open by name.
 struct NbdExport {
     std::string name;
     std::uint64_t sizeBytes = 0;
@@ -23,12 +24,14 @@
     double readDeadlineMs = 0;
     double writeDeadlineMs = 0;
 };
+
 struct NbdConfig {
     Address listen;
-    double unitBytes = 4096;
+    double unitBytes = 4096;  ///< bytes that count as one unit
     std::vector<NbdExport> exports;
-    std::map<std::string, Address> nodeAddresses;  ///< where a node, by its name in discovery, speaks NBD
+    std::map<std::string, Address> nodeAddresses;  ///< NBD addresses by node name
 
+    /// Returns nullptr if there is no such export.
     [[nodiscard]] const NbdExport* findExport(const std::string& name) const;
 };
 
--- a/src/config/nbd_section.h
+++ b/src/config/nbd_section.h
@@ -1,4 +1,4 @@
-// The exports in the NBD section of the operator's file, checked against the site's settings.
+// Validates the exports in the NBD section of the operator's file against the program's settings.
 #pragma once
 
 #include "config/nbd_config.h"
@@ -10,9 +10,9 @@
 class NbdExport;
 }
 
-/// Checks an export and adds it. NBD has no key by which a node could drop a repeat, so each class that an
-/// export writes by gets a twin in `site` that may not be sent again once it may have run. Throws
-/// limedrum::fields::FieldError, beginning with the field's name.
-void addExport(NbdConfig& config, const config::NbdExport& told, limedrum::ProgramSettings& site);
+/// Validates an export and adds it to `config`. NBD has no key by which a node could recognize a repeated
+/// write, so `settings` gets a non-idempotent copy of each class that an export writes with. Throws
+/// limedrum::fields::FieldError with a text that begins with the field's name.
+void addExport(NbdConfig& config, const config::NbdExport& message, limedrum::ProgramSettings& settings);
 
 }  // namespace martencove
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -14,14 +14,15 @@
 using limedrum::fields::FieldError;
 using limedrum::fields::throwFieldError;
 
-/// A message of the file, with the places where its fields stand.
+/// A message of the file with the source locations of its fields.
 template <typename Message>
 struct Section {
     const Message& in;
-    const pb::TextFormat::ParseInfoTree* places;
+    const pb::TextFormat::ParseInfoTree* locations;
     std::string file;
 
-    /// Runs `check`; what it complains of is told with the place of the field that the complaint begins with.
+    /// Runs `check` and turns its FieldError into a ConfigError with the location of the field, whose name
+    /// the error's text begins with.
     template <typename Check>
     auto checked(Check check) const {
         try {
@@ -30,18 +31,20 @@
             const std::string text = error.what();
             const auto* field = in.GetDescriptor()->FindFieldByName(text.substr(0, text.find(':')));
             const int index = field != nullptr && field->is_repeated() ? 0 : -1;
-            std::string at = file;
-            if (field != nullptr && places != nullptr && places->GetLocation(field, index).line >= 0) {
-                const auto place = places->GetLocation(field, index);
-                at += ':' + std::to_string(place.line + 1) + ':' + std::to_string(place.column + 1);
+            std::string position = file;
+            if (field != nullptr && locations != nullptr && locations->GetLocation(field, index).line >= 0) {
+                const auto location = locations->GetLocation(field, index);
+                position +=
+                    ':' + std::to_string(location.line + 1) + ':' + std::to_string(location.column + 1);
             }
-            throw ConfigError(at + ": " + text);
+            throw ConfigError(position + ": " + text);
         }
     }
     template <typename Inner>
     Section<Inner> inner(const Inner& message, const char* field, int index = -1) const {
-        const auto* at = in.GetDescriptor()->FindFieldByName(field);
-        return {message, places == nullptr ? nullptr : places->GetTreeForNested(at, index), file};
+        const auto* descriptor = in.GetDescriptor()->FindFieldByName(field);
+        return {message, locations == nullptr ? nullptr : locations->GetTreeForNested(descriptor, index),
+                file};
     }
 };
 
@@ -50,30 +53,31 @@
     if (!parsed) throwFieldError(field, text.empty() ? "missing" : "not an address: '" + text + "'");
     return *parsed;
 }
-const std::string& need(const std::string& text, const char* field) {
+const std::string& requireText(const std::string& text, const char* field) {
     if (text.empty()) throwFieldError(field, "missing");
     return text;
 }
-double within(double value, double least, double most, const char* field) {
-    if (!(value >= least && value <= most)) throwFieldError(field, "out of range");
+double requireInRange(double value, double minValue, double maxValue, const char* field) {
+    if (!(value >= minValue && value <= maxValue)) throwFieldError(field, "out of range");
     return value;
 }
 
-files::NodeFileConfig nodesOf(const config::NodesSection& in, const limedrum::ProgramSettings& site,
-                              const Limits& limits) {
+files::NodeFileConfig decodeNodes(const config::NodesSection& in, const limedrum::ProgramSettings& settings,
+                                  const Limits& limits) {
     files::NodeFileConfig out;
     if (in.path().empty()) throwFieldError("path", "missing");
-    for (const std::string& path : in.path()) out.paths.push_back(need(path, "path"));
+    for (const std::string& path : in.path()) out.paths.push_back(requireText(path, "path"));
     out.keptVersionPath = in.keep();
-    if (in.has_depart_s()) out.rules.removalDrainMs = within(in.depart_s(), 0, 86'400, "depart_s") * 1000;
-    if (in.has_most_lost()) out.rules.maxLostFraction = within(in.most_lost(), 0, 1, "most_lost");
-    if (in.has_look_s()) out.pollIntervalMs = within(in.look_s(), 0.05, 3600, "look_s") * 1000;
-    out.rules.shardCount = site.shardCount;
+    if (in.has_depart_s())
+        out.rules.removalDrainMs = requireInRange(in.depart_s(), 0, 86'400, "depart_s") * 1000;
+    if (in.has_most_lost()) out.rules.maxLostFraction = requireInRange(in.most_lost(), 0, 1, "most_lost");
+    if (in.has_look_s()) out.pollIntervalMs = requireInRange(in.look_s(), 0.05, 3600, "look_s") * 1000;
+    out.rules.shardCount = settings.shardCount;
     out.rules.maxNodes = limits.maxNodes;
     return out;
 }
 
-NbdConfig nbdOf(const Section<config::NbdSection>& section, limedrum::ProgramSettings& site) {
+NbdConfig decodeNbd(const Section<config::NbdSection>& section, limedrum::ProgramSettings& settings) {
     NbdConfig out;
     section.checked([&](const config::NbdSection& in) {
         out.listen = address(in.listen(), "listen");
@@ -83,7 +87,7 @@
     });
     for (int i = 0; i < section.in.exports_size(); ++i) {
         section.inner(section.in.exports(i), "exports", i).checked([&](const config::NbdExport& in) {
-            addExport(out, in, site);
+            addExport(out, in, settings);
         });
     }
     return out;
@@ -91,7 +95,7 @@
 
 }  // namespace
 
-OperatorConfig readOperatorConfig(const std::string& path, limedrum::ProgramSettings& site,
+OperatorConfig readOperatorConfig(const std::string& path, limedrum::ProgramSettings& settings,
                                   const Limits& limits) {
     const files::FileContent content = files::readRegularFile(path, limits.maxOperatorFileBytes);
     if (!content.error.empty()) throw ConfigError(path + ": " + content.error);
@@ -107,13 +111,13 @@
         throw ConfigError(path + ": nodes and etcd: storage nodes come from one of them");
     if (message.has_nodes())
         out.nodeFiles = top.inner(message.nodes(), "nodes").checked([&](const auto& in) {
-            return nodesOf(in, site, limits);
+            return decodeNodes(in, settings, limits);
         });
     if (message.has_etcd())
         out.etcd = top.inner(message.etcd(), "etcd").checked([](const auto& in) {
-            return EtcdConfig{address(in.address(), "address"), need(in.prefix(), "prefix")};
+            return EtcdConfig{address(in.address(), "address"), requireText(in.prefix(), "prefix")};
         });
-    if (message.has_nbd()) out.nbd = nbdOf(top.inner(message.nbd(), "nbd"), site);
+    if (message.has_nbd()) out.nbd = decodeNbd(top.inner(message.nbd(), "nbd"), settings);
     if (message.has_xds())
         out.xdsListen = top.inner(message.xds(), "xds").checked([](const auto& in) {
             return address(in.listen(), "listen");
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -1,4 +1,5 @@
-// The operator's file (proto/operator.proto): what an installation adds to the platform's configuration.
+// Reads the operator's file (proto/operator.proto): settings of an installation beyond the platform's
+// configuration.
 #pragma once
 
 #include <optional>
@@ -16,7 +17,7 @@
     std::string prefix;
 };
 
-/// Sections that are not in the file are off.
+/// The sections of the operator's file. Features without a section are off.
 struct OperatorConfig {
     std::optional<files::NodeFileConfig> nodeFiles;
     std::optional<EtcdConfig> etcd;
@@ -24,9 +25,9 @@
     std::optional<Address> xdsListen;
 };
 
-/// Reads and checks the whole file. `site` gets what the NBD section adds to it. Throws ConfigError:
-/// "FILE:LINE:COLUMN: FIELD: REASON".
-[[nodiscard]] OperatorConfig readOperatorConfig(const std::string& path, limedrum::ProgramSettings& site,
+/// Reads and validates the whole file. Adds to `settings` the classes that the NBD section needs. Throws
+/// ConfigError with the text "FILE:LINE:COLUMN: FIELD: REASON".
+[[nodiscard]] OperatorConfig readOperatorConfig(const std::string& path, limedrum::ProgramSettings& settings,
                                                 const Limits& limits);
 
 }  // namespace martencove
