--- a/src/cli/nodes.cpp
+++ b/src/cli/nodes.cpp
@@ -18,61 +18,61 @@
 using membership::OfferOutcome;
 using membership::ParsedNodeFile;
 
-std::vector<ParsedNodeFile> read(const std::vector<std::string>& paths) {
+std::vector<ParsedNodeFile> readFiles(const std::vector<std::string>& paths) {
     return files::readNodeFiles(files::expandPaths(paths), Limits().maxNodeFileBytes, false);
 }
 
-/// Prints why a version does not come into force; true: it does.
-bool passes(const membership::OfferResult& verdict) {
-    for (const auto& problem : verdict.problems) std::fprintf(stderr, "%s\n", problem.text().c_str());
-    return verdict.outcome == OfferOutcome::accepted || verdict.outcome == OfferOutcome::unchanged;
+/// Prints the problems of a version. Returns whether it was accepted or changes nothing.
+bool checkAccepted(const membership::OfferResult& result) {
+    for (const auto& problem : result.problems) std::fprintf(stderr, "%s\n", problem.text().c_str());
+    return result.outcome == OfferOutcome::accepted || result.outcome == OfferOutcome::unchanged;
 }
 
-struct Asked {
+struct StatusQuery {
     event_base* base;
     int code = 0;
     std::string body;
 };
 
-void answered(evhttp_request* request, void* arg) {
-    auto* asked = static_cast<Asked*>(arg);
+void onStatusReply(evhttp_request* request, void* arg) {
+    auto* query = static_cast<StatusQuery*>(arg);
     if (request != nullptr) {
-        asked->code = evhttp_request_get_response_code(request);
+        query->code = evhttp_request_get_response_code(request);
         evbuffer* in = evhttp_request_get_input_buffer(request);
-        asked->body.resize(evbuffer_get_length(in));
-        evbuffer_copyout(in, asked->body.data(), asked->body.size());
+        query->body.resize(evbuffer_get_length(in));
+        evbuffer_copyout(in, query->body.data(), query->body.size());
     }
-    event_base_loopbreak(asked->base);
+    event_base_loopbreak(query->base);
 }
 
 }  // namespace
 
 int checkNodes(const std::vector<std::string>& paths) {
-    membership::MembershipManager gate{membership::MembershipRules{}};
-    const membership::OfferResult verdict = gate.offerVersion(read(paths), Clock().nowMs());
-    for (const std::string& note : verdict.notes) std::fprintf(stderr, "%s\n", note.c_str());
-    if (!passes(verdict)) return kExitRejected;
-    std::printf("version %llu: %zu nodes\n", static_cast<unsigned long long>(verdict.version),
-                gate.current()->members.size());
+    membership::MembershipManager manager{membership::MembershipRules{}};
+    const membership::OfferResult result = manager.offerVersion(readFiles(paths), Clock().nowMs());
+    for (const std::string& note : result.notes) std::fprintf(stderr, "%s\n", note.c_str());
+    if (!checkAccepted(result)) return kExitRejected;
+    std::printf("version %llu: %zu nodes\n", static_cast<unsigned long long>(result.version),
+                manager.current()->members.size());
     return kExitOk;
 }
 
 int diffNodes(const std::string& before, const std::string& after) {
-    membership::MembershipManager gate{membership::MembershipRules{}};
+    membership::MembershipManager manager{membership::MembershipRules{}};
     const double now = Clock().nowMs();
-    if (!passes(gate.offerVersion(read({before}), now))) return kExitRejected;
-    const membership::MembershipPtr old = gate.current();
-    const std::vector<ParsedNodeFile> drafts = read({after});
-    const membership::OfferResult verdict = gate.offerVersion(drafts, now);
-    if (verdict.outcome != OfferOutcome::accepted) {
-        // Told all the same, where it is sound by itself.
-        membership::MembershipManager alone{membership::MembershipRules{}};
-        if (alone.offerVersion(drafts, now).outcome == OfferOutcome::accepted)
-            for (const std::string& line : membership::describeChanges(old.get(), *alone.current()))
+    if (!checkAccepted(manager.offerVersion(readFiles({before}), now))) return kExitRejected;
+    const membership::MembershipPtr old = manager.current();
+    const std::vector<ParsedNodeFile> newFiles = readFiles({after});
+    const membership::OfferResult result = manager.offerVersion(newFiles, now);
+    if (result.outcome != OfferOutcome::accepted) {
+        // A version that the rules reject is still shown if it is valid on its own.
+        membership::MembershipManager separateManager{membership::MembershipRules{}};
+        if (separateManager.offerVersion(newFiles, now).outcome == OfferOutcome::accepted)
+            for (const std::string& line : membership::describeChanges(old.get(), *separateManager.current()))
                 std::printf("%s\n", line.c_str());
-        return passes(verdict) ? kExitOk : kExitRejected;
+        return checkAccepted(result) ? kExitOk : kExitRejected;
     }
-    for (const std::string& line : membership::describeChanges(old.get(), *gate.current()))
+    for (const std::string& line : membership::describeChanges(old.get(), *manager.current()))
         std::printf("%s\n", line.c_str());
     return kExitOk;
 }
@@ -102,19 +102,19 @@
         return kExitFailed;
     }
     const LibeventPtr<event_base> base = makeEventBase();
-    Asked asked{base.get(), 0, {}};
+    StatusQuery query{base.get(), 0, {}};
     const LibeventPtr<evhttp_connection> connection(
         evhttp_connection_base_new(base.get(), nullptr, address->host.c_str(), address->port));
     evhttp_connection_set_timeout(connection.get(), 5);
-    evhttp_request* request = evhttp_request_new(answered, &asked);
+    evhttp_request* request = evhttp_request_new(onStatusReply, &query);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", text.c_str());
     if (evhttp_make_request(connection.get(), request, EVHTTP_REQ_GET, "/nodes") == 0)
         event_base_dispatch(base.get());
-    if (asked.code == 200) {
-        std::fputs(asked.body.c_str(), stdout);
+    if (query.code == 200) {
+        std::fputs(query.body.c_str(), stdout);
         return kExitOk;
     }
-    std::fprintf(stderr, asked.code == 0 ? "%s: no answer\n" : "%s: takes no nodes from files\n",
+    std::fprintf(stderr, query.code == 0 ? "%s: no answer\n" : "%s: takes no nodes from files\n",
                  text.c_str());
     return kExitFailed;
 }
--- a/src/cli/nodes.h
+++ b/src/cli/nodes.h
@@ -1,4 +1,5 @@
-// The sub-commands on files of nodes: check, diff, seal, show. Each returns the program's exit code.
+// The sub-commands `nodes check`, `diff`, `seal` and `show` for node files. Each returns the program's exit
+// code.
 #pragma once
 
 #include <string>
@@ -8,15 +9,16 @@
 
 inline constexpr int kExitOk = 0;
 inline constexpr int kExitFailed = 1;    ///< something could not be read, written or reached
-inline constexpr int kExitRejected = 3;  ///< what was checked is not fit to come into force; 2 is wrong usage
+inline constexpr int kExitRejected = 3;  ///< the checked input is invalid; code 2 is wrong usage
 
-/// Judges what stands at `paths` as a start would; problems go to standard error, a line each.
+/// Checks the files at `paths` as the program does at startup. Prints problems to standard error, one per
+/// line.
 [[nodiscard]] int checkNodes(const std::vector<std::string>& paths);
-/// Tells the change from one version to another, and whether the guards would let it pass.
+/// Prints the changes between two versions. Returns kExitRejected if the membership rules do not allow them.
 [[nodiscard]] int diffNodes(const std::string& before, const std::string& after);
-/// Puts a file's count right and its last line anew.
+/// Updates the node count and the trailer line of a file after an edit.
 [[nodiscard]] int sealNodes(const std::string& path);
-/// Asks a running scheduler which version is in force, for how long, and what was refused last.
+/// Prints the status page of a running scheduler: the active version, its age, and the last rejected version.
 [[nodiscard]] int showNodes(const std::string& address);
 
 }  // namespace martencove::cli
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -29,13 +29,13 @@
 
 class Program::Impl {
 public:
-    Impl(Config config, [[maybe_unused]] OperatorSections extras, LogFormat form)
+    Impl(Config config, [[maybe_unused]] OperatorSections sections, LogFormat logFormat)
         : config_(std::move(config)),
           base_(makeEventBase()),
-          log_(clock_, config_.limits, form),
+          log_(clock_, config_.limits, logFormat),
           tickTimer_(base_.get(), [this] { dispatcher_.tick(); }),
 #ifdef MARTENCOVE_OPERATOR
-          nodeFiles_(openNodeFiles(extras)),
+          nodeFiles_(openNodeFiles(sections)),
 #endif
           scheduler_(config_.settings.scheduler, config_.seed, clock_.nowMs(), config_.knownNodes),
           dispatcher_(scheduler_, clock_, config_.limits, counters_, dispatcherCallbacks(),
@@ -55,35 +55,35 @@
                 base_.get(), *config_.peerListen, config_.peers, config_.limits, counters_, log_,
                 [this](const PeerMessage& message) { dispatcher_.receivePeerMessage(message); },
                 inheritedSocket("peers"));
-        const auto told = [this](const NodeList& list) { dispatcher_.updateNodes(list); };
-        bool watch = true;
+        const auto onNodes = [this](const NodeList& list) { dispatcher_.updateNodes(list); };
+        bool useDiscovery = true;
 #ifdef MARTENCOVE_OPERATOR
         if (nodeFiles_) {
-            watch = false;
-            nodeFiles_->start(told);
+            useDiscovery = false;
+            nodeFiles_->start(onNodes);
             httpFront_.addTextPage("/nodes", [this] { return nodeFiles_->statusText(); });
             httpFront_.setReadinessCheck([this] { return nodeFiles_->ready(); });
         }
-        if (extras.nbd) {
+        if (sections.nbd) {
             nbdPool_.emplace(base_.get(), clock_, config_.limits, counters_);
-            nbdFront_.emplace(base_.get(), std::move(*extras.nbd), dispatcher_, *nbdPool_, config_.limits,
+            nbdFront_.emplace(base_.get(), std::move(*sections.nbd), dispatcher_, *nbdPool_, config_.limits,
                               log_, inheritedSocket("nbd"));
         }
 #endif
 #ifdef MARTENCOVE_ETCD
-        if (extras.etcd) {
-            watch = false;
-            etcdSource_.emplace(base_.get(), *extras.etcd, config_.seed, config_.limits, counters_, log_,
-                                told);
+        if (sections.etcd) {
+            useDiscovery = false;
+            etcdSource_.emplace(base_.get(), *sections.etcd, config_.seed, config_.limits, counters_, log_,
+                                onNodes);
         }
 #endif
-        if (watch && !config_.discovery) throw ConfigError("discovery: missing");
-        if (watch)
+        if (useDiscovery && !config_.discovery) throw ConfigError("discovery: missing");
+        if (useDiscovery)
             discovery_.emplace(base_.get(), *config_.discovery, config_.knownNodes, config_.seed,
-                               config_.limits, counters_, log_, told);
+                               config_.limits, counters_, log_, onNodes);
 #ifdef MARTENCOVE_XDS
-        if (extras.xdsListen)
-            xdsServer_.emplace(base_.get(), *extras.xdsListen, config_.limits, counters_,
+        if (sections.xdsListen)
+            xdsServer_.emplace(base_.get(), *sections.xdsListen, config_.limits, counters_,
                                [this] { return dispatcher_.nodeStatuses(); });
 #endif
         if (config_.ops)
@@ -130,15 +130,15 @@
                 [this](const std::string& note) { log_.info("module", note); }};
     }
 
-    // Requests go on meanwhile: what a running program can take over is put in its place, nothing else moves.
+    // Applies a changed configuration file. Open requests are not affected. An invalid file changes nothing.
     void reload() {
         try {
             const Config next = reloadConfig();
             limedrum::requireKeys(config_.sourceJson, next.sourceJson);
-            limedrum::ProgramSettings site = limedrum::mergeSettings(config_.settings, next.settings);
-            scheduler_.updateSettings(
-                site.scheduler);  // the last that can throw: from here on all of it is taken
-            config_.settings = std::move(site);
+            limedrum::ProgramSettings settings = limedrum::mergeSettings(config_.settings, next.settings);
+            // The last call that can throw: after it the whole configuration is applied.
+            scheduler_.updateSettings(settings.scheduler);
+            config_.settings = std::move(settings);
             config_.limits.updateReloadable(next.limits);
             longestDeadline_.update(clock_.nowMs(), config_.limits.longestDeadlineMs);
             if (shutdownSchedule_) updateShutdownSchedule();
@@ -147,8 +147,8 @@
             log_.info("configuration", "read",
                       {{"discovery", next.discovery ? next.discovery->toString() : std::string("none")}});
             for (const auto& [field, value] : config_.startOnlyFields) {
-                const auto now = next.startOnlyFields.find(field);
-                if (now == next.startOnlyFields.end() || now->second != value)
+                const auto newValue = next.startOnlyFields.find(field);
+                if (newValue == next.startOnlyFields.end() || newValue->second != value)
                     log_.warn("configuration", "differs, which waits for the next start", {{"field", field}});
             }
             if (discovery_ && next.discovery) discovery_->switchAddress(*next.discovery);
@@ -163,8 +163,8 @@
         return acceptingStarted_ && !yielding_ && !shutdownSchedule_ && !httpFront_.evacuating();
     }
 
-    // A process takes over from another where the platform runs both with one folder, as it does where there
-    // is a second address.
+    // Handover needs a TMPDIR that the old and the new process share, which the platform provides where the
+    // second address (`ops`) is set. Returns an empty string otherwise.
     [[nodiscard]] std::string handoverFolder() const {
         const char* folder = std::getenv("TMPDIR");
         return config_.ops && folder != nullptr ? folder : "";
@@ -172,9 +172,9 @@
     [[nodiscard]] std::string handoverSocketPath() const { return handoverFolder() + "/martencove.handover"; }
     [[nodiscard]] std::optional<handover::ReceivedHandover> requestHandover() {
         if (handoverFolder().empty()) return std::nullopt;
-        auto taken = handover::requestHandover(handoverSocketPath(), config_.limits);
-        if (taken) log_.info("handover", "takes over the sockets of another process");
-        return taken;
+        auto received = handover::requestHandover(handoverSocketPath(), config_.limits);
+        if (received) log_.info("handover", "takes over the sockets of another process");
+        return received;
     }
     [[nodiscard]] int inheritedSocket(const char* name) {
         return inherited_ ? inherited_->takeSocket(name) : -1;
@@ -183,7 +183,7 @@
         std::map<std::string, int> out{{"http", httpFront_.listenerFd()}};
         if (peers_) out["peers"] = peers_->descriptor();
         if (nbdFront_) out["nbd"] = nbdFront_->listenerFd();
-        std::erase_if(out, [](const auto& s) { return s.second < 0; });
+        std::erase_if(out, [](const auto& entry) { return entry.second < 0; });
         return out;
     }
     void setYielding(bool on) {
@@ -193,21 +193,23 @@
         if (peers_) peers_->setYielded(on);
     }
 
-    // The list that a program starts with may be old, and what the agent on its machine holds counts as told:
-    // clients wait in the listener's queue until that has come, but not for one that stays silent.
+    // Starts accepting clients. With a pushed node list they wait in the listener's queue until the first
+    // list or firstListTimeoutMs, because the configured list may be outdated and the list that the local
+    // agent has counts as known to this program.
     void startAccepting() {
         if (std::exchange(acceptingStarted_, true)) return;
         firstListTimer_.stop();
         if (inherited_) {
-            // After the first list, which says of which nodes it is.
-            const bool whole = scheduler_.importState(clock_.nowMs(), inherited_->learnedState);
-            counters_.add(whole ? "handover_learned" : "handover_fresh");
-            log_.info("handover", whole ? "goes on with what the other process has learned" : "learns anew",
+            // Imported after the first list, which contains the nodes that the state is about.
+            const bool imported = scheduler_.importState(clock_.nowMs(), inherited_->learnedState);
+            counters_.add(imported ? "handover_learned" : "handover_fresh");
+            log_.info("handover",
+                      imported ? "goes on with what the other process has learned" : "learns anew",
                       {{"bytes", inherited_->learnedState.size()}});
             inherited_->notifyReady();
         }
         if (handoverServer_) handoverServer_->listen();
-        if (!discovery_ || !config_.limits.listPushed) return;  // it never held
+        if (!discovery_ || !config_.limits.listPushed) return;  // was not paused
         if (!discovery_->hasReceivedList()) {
             counters_.add("started_unheard");
             log_.warn("start", "no list has come, clients are taken with the one from the configuration");
@@ -216,7 +218,7 @@
         if (nbdFront_) nbdFront_->resumeAccepting();
     }
 
-    // New connections still come for a while, and what was taken is finished.
+    // Keeps accepting new connections for a while and finishes accepted requests.
     void shutDown() {
         if (shutdownSchedule_) return;
         shutdownStartMs_ = clock_.nowMs();
@@ -226,39 +228,39 @@
         updateShutdownSchedule();
     }
 
-    // Also where a new configuration brings the end nearer, while it is under way.
+    // Called at the start of the shutdown, and on a reload during it, which can only make its steps earlier.
     void updateShutdownSchedule() {
         const double now = clock_.nowMs();
         const auto steps = ShutdownSchedule::forLongestDeadline(longestDeadline_.deadlineMsAt(now));
         shutdownSchedule_ = shutdownSchedule_->earlierOf(steps.startingAt(shutdownStartMs_));
-        const auto spanOf = [this](double ms) { return std::llround(ms - shutdownStartMs_); };
+        const auto msAfterStart = [this](double ms) { return std::llround(ms - shutdownStartMs_); };
         log_.info("end", "finishing what was taken",
                   {{"open", dispatcher_.openRequestCount()},
-                   {"first_attempts_ms", spanOf(shutdownSchedule_->firstAttemptUntilMs)},
-                   {"answers_ms", spanOf(shutdownSchedule_->answerByMs)},
-                   {"exit_ms", spanOf(shutdownSchedule_->exitByMs)},
-                   {"sigkill_after_ms", spanOf(shutdownSchedule_->earliestSigkillMs)}});
+                   {"first_attempts_ms", msAfterStart(shutdownSchedule_->firstAttemptUntilMs)},
+                   {"answers_ms", msAfterStart(shutdownSchedule_->answerByMs)},
+                   {"exit_ms", msAfterStart(shutdownSchedule_->exitByMs)},
+                   {"sigkill_after_ms", msAfterStart(shutdownSchedule_->earliestSigkillMs)}});
         dispatcher_.shutDown(*shutdownSchedule_);
-        // Where another process has the listener, nothing new can come here, and the sooner this one is gone
-        // the sooner its clients turn to the other.
+        // If another process has the listener, no new connections arrive here, and an early exit moves the
+        // clients to the other process sooner.
         exitTimer_.start(yielding_ ? 0 : shutdownSchedule_->acceptUntilMs - now);
     }
 
-    // Again and again from the listeners' close on.
+    // Repeats on exitTimer_ until the process exits. The first call closes the listeners.
     void exitWhenDrained() {
         const double now = clock_.nowMs();
         const bool late = now >= shutdownSchedule_->partialRequestUntilMs;
         const bool closed = httpFront_.closeListener(late);
         httpFront_.closeFinishedConnections(late);
         if (nbdFront_) nbdFront_->startShutdown();
-        const bool quiet = closed && dispatcher_.openRequestCount() == 0 && httpFront_.isDrained() &&
-                           (!nbdFront_ || nbdFront_->isDrained());
-        if (!quiet && now < shutdownSchedule_->exitByMs)
+        const bool drained = closed && dispatcher_.openRequestCount() == 0 && httpFront_.isDrained() &&
+                             (!nbdFront_ || nbdFront_->isDrained());
+        if (!drained && now < shutdownSchedule_->exitByMs)
             return exitTimer_.start(
                 std::min(config_.limits.shutdownCheckIntervalMs, shutdownSchedule_->exitByMs - now));
-        // After a hold-up beyond what the schedule allows for, what has come meanwhile is still to be read,
-        // and answers are still to be written.
-        if (!quiet && !std::exchange(finalTurnUsed_, true))
+        // After a stall longer than the schedule allows for, one more loop turn reads requests that arrived
+        // meanwhile and writes the remaining answers.
+        if (!drained && !std::exchange(finalTurnUsed_, true))
             return exitTimer_.start(ShutdownSchedule::kLoopTurnMs);
         httpFront_.flushOutput();
         log_.info("end", "exits",
@@ -277,16 +279,17 @@
     }
 
 #ifdef MARTENCOVE_OPERATOR
-    // What is in force there is what the program starts with: the platform's list does not count then.
-    std::unique_ptr<files::NodeFileSource> openNodeFiles(const OperatorSections& extras) {
-        if (!extras.nodeFiles) return nullptr;
-        auto out = std::make_unique<files::NodeFileSource>(base_.get(), *extras.nodeFiles, clock_,
+    // Replaces the configured node list with the active version of the node files.
+    std::unique_ptr<files::NodeFileSource> openNodeFiles(const OperatorSections& sections) {
+        if (!sections.nodeFiles) return nullptr;
+        auto out = std::make_unique<files::NodeFileSource>(base_.get(), *sections.nodeFiles, clock_,
                                                            config_.limits, counters_, log_);
         config_.knownNodes = out->takeInitialNodes();
         return out;
     }
 #endif
 
+    // The order of members matters: later ones refer to earlier ones.
     Config config_;
     Clock clock_;
     Counters counters_;
@@ -295,16 +298,16 @@
     std::optional<PeerSocket> peers_;
     Timer tickTimer_;
 #ifdef MARTENCOVE_OPERATOR
-    std::unique_ptr<files::NodeFileSource> nodeFiles_;  // in discovery's place
+    std::unique_ptr<files::NodeFileSource> nodeFiles_;  // replaces discovery
 #endif
     SchedulerFacade scheduler_;
     Dispatcher dispatcher_;
     HttpNodeConnectionPool httpPool_;
     std::optional<DiscoveryClient> discovery_;
 #ifdef MARTENCOVE_ETCD
-    std::optional<etcd::NodeSource> etcdSource_;  // in discovery's place
+    std::optional<etcd::NodeSource> etcdSource_;  // replaces discovery
 #endif
-    std::optional<handover::ReceivedHandover> inherited_;  // from the process before
+    std::optional<handover::ReceivedHandover> inherited_;  // from the previous process
     HttpFront httpFront_;
     std::optional<handover::HandoverServer> handoverServer_;
     bool yielding_ = false;
@@ -322,13 +325,13 @@
     Timer firstListTimer_;
     bool acceptingStarted_ = false;
     LongestDeadline longestDeadline_{config_.limits.longestDeadlineMs};
-    std::optional<ShutdownSchedule> shutdownSchedule_;  // its moments, once it has begun
+    std::optional<ShutdownSchedule> shutdownSchedule_;  // set once the shutdown has begun
     double shutdownStartMs_ = 0;
-    bool finalTurnUsed_ = false;  // the one after its last moment
+    bool finalTurnUsed_ = false;  // the loop turn after exitByMs
 };
 
-Program::Program(Config config, OperatorSections extras, LogFormat form)
-    : impl_(std::make_unique<Impl>(std::move(config), std::move(extras), form)) {}
+Program::Program(Config config, OperatorSections sections, LogFormat logFormat)
+    : impl_(std::make_unique<Impl>(std::move(config), std::move(sections), logFormat)) {}
 Program::~Program() = default;
 void Program::run() { impl_->run(); }
 
--- a/src/cli/program.h
+++ b/src/cli/program.h
@@ -1,4 +1,4 @@
-// The running scheduler: wires the parts, holds none of their logic.
+// The running scheduler: constructs and connects the components.
 #pragma once
 
 #include <memory>
@@ -14,18 +14,19 @@
 #ifdef MARTENCOVE_OPERATOR
 using OperatorSections = OperatorConfig;
 #else
-struct OperatorSections {};  ///< this build reads no operator's file
+struct OperatorSections {};  ///< empty: this build does not support the operator's file
 #endif
 
+/// The scheduler process with its listeners, connections and timers on one event loop.
 class Program {
 public:
-    /// Throws ConfigError or std::runtime_error, with the reason, where it cannot start.
-    Program(Config config, OperatorSections extras, LogFormat form);
+    /// Binds the listeners. Throws ConfigError or std::runtime_error if the program cannot start.
+    Program(Config config, OperatorSections sections, LogFormat logFormat);
     ~Program();
     Program(const Program&) = delete;
     Program& operator=(const Program&) = delete;
 
-    /// Until it is told to end by SIGTERM or SIGINT.
+    /// Runs until the shutdown that SIGTERM or SIGINT starts is complete.
     void run();
 
 private:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// martencove: a request scheduler for storage nodes. Reads the command line; src/cli does what it says.
+// Entry point of martencove, a request scheduler for storage nodes. Parses the command line and calls
+// src/cli.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -18,18 +19,19 @@
 
 using namespace martencove;
 
-OperatorSections readExtras(const std::string& file, Config& config) {
+OperatorSections readSections(const std::string& file, Config& config) {
 #ifdef MARTENCOVE_OPERATOR
     if (file.empty()) return {};
-    OperatorSections extras = readOperatorConfig(file, config.settings, config.limits);
-    // A section that this build cannot serve is no section to pass over.
+    OperatorSections sections = readOperatorConfig(file, config.settings, config.limits);
+    // Sections that this build does not support are errors rather than ignored.
 #ifndef MARTENCOVE_ETCD
-    if (extras.etcd) throw ConfigError(file + ": etcd: not in this build (CMake option MARTENCOVE_ETCD)");
+    if (sections.etcd) throw ConfigError(file + ": etcd: not in this build (CMake option MARTENCOVE_ETCD)");
 #endif
 #ifndef MARTENCOVE_XDS
-    if (extras.xds) throw ConfigError(file + ": xds: not in this build (CMake option MARTENCOVE_XDS)");
+    if (sections.xdsListen)
+        throw ConfigError(file + ": xds: not in this build (CMake option MARTENCOVE_XDS)");
 #endif
-    return extras;
+    return sections;
 #else
     (void)config;
     if (!file.empty()) throw ConfigError("--operator: not in this build (CMake option MARTENCOVE_OPERATOR)");
@@ -37,26 +39,26 @@
 #endif
 }
 
-int serve(const std::string& file, LogFormat form) {
+int serve(const std::string& file, LogFormat logFormat) {
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGHUP, SIG_IGN);  // until there is a configuration to read anew
-    std::signal(SIGTERM, [](int) { std::_Exit(EXIT_SUCCESS); });  // until a request may have been taken
+    std::signal(SIGHUP, SIG_IGN);  // until a configuration is loaded that SIGHUP can reload
+    std::signal(SIGTERM, [](int) { std::_Exit(EXIT_SUCCESS); });  // until requests may have been accepted
     Config config = readConfig();
-    OperatorSections extras = readExtras(file, config);
-    Program(std::move(config), std::move(extras), form).run();
+    OperatorSections sections = readSections(file, config);
+    Program(std::move(config), std::move(sections), logFormat).run();
     return 0;
 }
 
 int check(const std::string& file) {
     Config config = readConfig();
-    const OperatorSections extras = readExtras(file, config);
+    const OperatorSections sections = readSections(file, config);
 #ifdef MARTENCOVE_OPERATOR
-    if (extras.nodeFiles) {
-        const int code = cli::checkNodes(extras.nodeFiles->paths);
-        if (code != cli::kExitOk) return code;
+    if (sections.nodeFiles) {
+        const int exitCode = cli::checkNodes(sections.nodeFiles->paths);
+        if (exitCode != cli::kExitOk) return exitCode;
     }
 #else
-    (void)extras;
+    (void)sections;
 #endif
     std::puts("configuration: good");
     return 0;
@@ -74,27 +76,29 @@
         "usage, 3 what was checked is not fit to use.");
     app.require_subcommand(0, 1);
     std::string file;
-    const auto addOperator = [&](CLI::App& to) {
-        to.add_option("--operator", file, "the operator's file (protobuf text format)")->type_name("FILE");
+    const auto addOperatorOption = [&](CLI::App& command) {
+        command.add_option("--operator", file, "the operator's file (protobuf text format)")
+            ->type_name("FILE");
     };
-    addOperator(app);
-    LogFormat form = LogFormat::text;
-    const std::map<std::string, LogFormat> forms{{"text", LogFormat::text}, {"json", LogFormat::json}};
-    const auto addLog = [&](CLI::App& to) {
-        to.add_option("--log", form, "form of the log's lines")
+    addOperatorOption(app);
+    LogFormat logFormat = LogFormat::text;
+    const std::map<std::string, LogFormat> logFormats{{"text", LogFormat::text}, {"json", LogFormat::json}};
+    const auto addLogOption = [&](CLI::App& command) {
+        command.add_option("--log", logFormat, "form of the log's lines")
             ->type_name("text|json")
-            ->transform(CLI::CheckedTransformer(forms, CLI::ignore_case).description(""));
+            ->transform(CLI::CheckedTransformer(logFormats, CLI::ignore_case).description(""));
     };
-    addLog(app);
-    std::function<int()> run = [&] { return serve(file, form); };
+    addLogOption(app);
+    std::function<int()> run = [&] { return serve(file, logFormat); };
 
-    CLI::App* serving = app.add_subcommand("serve", "run the scheduler (what happens without a sub-command)");
-    addOperator(*serving);
-    addLog(*serving);
-    CLI::App* checking = app.add_subcommand(
+    CLI::App* serveCommand =
+        app.add_subcommand("serve", "run the scheduler (what happens without a sub-command)");
+    addOperatorOption(*serveCommand);
+    addLogOption(*serveCommand);
+    CLI::App* checkCommand = app.add_subcommand(
         "check", "check the configuration, the operator's file and the files that it names");
-    addOperator(*checking);
-    checking->callback([&] { run = [&] { return check(file); }; });
+    addOperatorOption(*checkCommand);
+    checkCommand->callback([&] { run = [&] { return check(file); }; });
     app.add_subcommand("version", "print the version")->callback([&] {
         run = [] {
             std::puts("martencove " MARTENCOVE_VERSION);
@@ -102,24 +106,25 @@
         };
     });
 #ifdef MARTENCOVE_OPERATOR
-    CLI::App* nodes = app.add_subcommand("nodes", "files of storage nodes");
-    nodes->require_subcommand(1);
+    CLI::App* nodesCommand = app.add_subcommand("nodes", "files of storage nodes");
+    nodesCommand->require_subcommand(1);
     std::vector<std::string> paths;
-    std::string before, after, one;
-    CLI::App* checkFiles = nodes->add_subcommand("check", "judge files of nodes as a start would");
-    checkFiles->add_option("path", paths, "files, or folders of *.textproto files")->required();
-    checkFiles->callback([&] { run = [&] { return cli::checkNodes(paths); }; });
-    CLI::App* diff = nodes->add_subcommand("diff", "tell the change from one version to another");
-    diff->add_option("before", before, "a file or folder")->required();
-    diff->add_option("after", after, "a file or folder")->required();
-    diff->callback([&] { run = [&] { return cli::diffNodes(before, after); }; });
-    CLI::App* seal =
-        nodes->add_subcommand("seal", "put a file's count and its last line right, after an edit");
-    seal->add_option("path", one, "the file")->required();
-    seal->callback([&] { run = [&] { return cli::sealNodes(one); }; });
-    CLI::App* show = nodes->add_subcommand("show", "ask a running scheduler for the version in force");
-    show->add_option("address", one, "where its clients connect, host:port")->required();
-    show->callback([&] { run = [&] { return cli::showNodes(one); }; });
+    std::string before, after, argument;
+    CLI::App* nodesCheck = nodesCommand->add_subcommand("check", "judge files of nodes as a start would");
+    nodesCheck->add_option("path", paths, "files, or folders of *.textproto files")->required();
+    nodesCheck->callback([&] { run = [&] { return cli::checkNodes(paths); }; });
+    CLI::App* nodesDiff = nodesCommand->add_subcommand("diff", "tell the change from one version to another");
+    nodesDiff->add_option("before", before, "a file or folder")->required();
+    nodesDiff->add_option("after", after, "a file or folder")->required();
+    nodesDiff->callback([&] { run = [&] { return cli::diffNodes(before, after); }; });
+    CLI::App* nodesSeal =
+        nodesCommand->add_subcommand("seal", "put a file's count and its last line right, after an edit");
+    nodesSeal->add_option("path", argument, "the file")->required();
+    nodesSeal->callback([&] { run = [&] { return cli::sealNodes(argument); }; });
+    CLI::App* nodesShow =
+        nodesCommand->add_subcommand("show", "ask a running scheduler for the version in force");
+    nodesShow->add_option("address", argument, "where its clients connect, host:port")->required();
+    nodesShow->callback([&] { run = [&] { return cli::showNodes(argument); }; });
 #endif
     try {
         app.parse(argc, argv);
