--- a/src/cli/nodes.cpp
+++ b/src/cli/nodes.cpp
@@ -114,8 +114,7 @@
         std::fputs(query.body.c_str(), stdout);
         return kExitOk;
     }
-    std::fprintf(stderr, query.code == 0 ? "%s: no answer\n" : "%s: takes no nodes from files\n",
-                 text.c_str());
+    std::fprintf(stderr, query.code == 0 ? "%s: no answer\n" : "%s: does not use node files\n", text.c_str());
     return kExitFailed;
 }
 
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -107,7 +107,7 @@
         dispatcher_.tick();
         if (const DrainGraceBudget& grace = config_.limits.drainGrace;
             grace.totalMs > 0 && grace.toleratedFailures() < 1)
-            log_.warn("start", "the grace on leaving servers is too short for a call that fails",
+            log_.warn("start", "the drain grace is too short to retry a failed discovery call",
                       {{"DrainGraceMs", static_cast<std::int64_t>(grace.totalMs)}});
         log_.info("start", "listens",
                   {{"name", config_.name},
@@ -149,7 +149,8 @@
             for (const auto& [field, value] : config_.startOnlyFields) {
                 const auto newValue = next.startOnlyFields.find(field);
                 if (newValue == next.startOnlyFields.end() || newValue->second != value)
-                    log_.warn("configuration", "differs, which waits for the next start", {{"field", field}});
+                    log_.warn("configuration", "changed field takes effect at the next start",
+                              {{"field", field}});
             }
             if (discovery_ && next.discovery) discovery_->switchAddress(*next.discovery);
             if (peers_) peers_->setPeers(next.peers);
@@ -173,7 +174,7 @@
     [[nodiscard]] std::optional<handover::ReceivedHandover> requestHandover() {
         if (handoverFolder().empty()) return std::nullopt;
         auto received = handover::requestHandover(handoverSocketPath(), config_.limits);
-        if (received) log_.info("handover", "takes over the sockets of another process");
+        if (received) log_.info("handover", "received the sockets of another process");
         return received;
     }
     [[nodiscard]] int inheritedSocket(const char* name) {
@@ -204,7 +205,8 @@
             const bool imported = scheduler_.importState(clock_.nowMs(), inherited_->learnedState);
             counters_.add(imported ? "handover_learned" : "handover_fresh");
             log_.info("handover",
-                      imported ? "goes on with what the other process has learned" : "learns anew",
+                      imported ? "imported the learned state of the other process"
+                               : "learned state not imported, starting without it",
                       {{"bytes", inherited_->learnedState.size()}});
             inherited_->notifyReady();
         }
@@ -212,7 +214,8 @@
         if (!discovery_ || !config_.limits.listPushed) return;  // was not paused
         if (!discovery_->hasReceivedList()) {
             counters_.add("started_unheard");
-            log_.warn("start", "no list has come, clients are taken with the one from the configuration");
+            log_.warn("start",
+                      "no node list received, accepting clients with the list from the configuration");
         }
         httpFront_.resumeAccepting();
         if (nbdFront_) nbdFront_->resumeAccepting();
--- a/src/config/nbd_section.cpp
+++ b/src/config/nbd_section.cpp
@@ -81,7 +81,7 @@
 
 void addExport(NbdConfig& config, const config::NbdExport& message, limedrum::ProgramSettings& settings) {
     NbdExport next = decodeExport(message, settings);
-    if (config.findExport(next.name) != nullptr) throwFieldError("name", "an export named twice");
+    if (config.findExport(next.name) != nullptr) throwFieldError("name", "duplicate export name");
     config.exports.push_back(std::move(next));
 }
 
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -108,7 +108,7 @@
     const Section<config::Operator> top{message, &tree, path};
     OperatorConfig out;
     if (message.has_nodes() && message.has_etcd())
-        throw ConfigError(path + ": nodes and etcd: storage nodes come from one of them");
+        throw ConfigError(path + ": nodes and etcd: only one of them is allowed");
     if (message.has_nodes())
         out.nodeFiles = top.inner(message.nodes(), "nodes").checked([&](const auto& in) {
             return decodeNodes(in, settings, limits);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -60,7 +60,7 @@
 #else
     (void)sections;
 #endif
-    std::puts("configuration: good");
+    std::puts("configuration: valid");
     return 0;
 }
 
@@ -68,12 +68,13 @@
 
 int main(int argc, char** argv) {
     CLI::App app{
-        "martencove shares storage nodes fairly among volumes: it takes requests, decides which go to a "
-        "node now, which wait and which are refused, and answers each exactly once.",
+        "martencove shares storage nodes fairly among volumes: it accepts requests, decides which are sent "
+        "to a node now, which wait and which are refused, and answers each exactly once.",
         "martencove"};
     app.footer(
-        "NODE_CONFIG names the platform's configuration. Exit codes: 0 done, 1 it cannot be done, 2 wrong "
-        "usage, 3 what was checked is not fit to use.");
+        "The environment variable NODE_CONFIG names the configuration file. Exit codes: 0 success, 1 "
+        "failure, "
+        "2 wrong usage, 3 the checked input is invalid.");
     app.require_subcommand(0, 1);
     std::string file;
     const auto addOperatorOption = [&](CLI::App& command) {
@@ -84,19 +85,18 @@
     LogFormat logFormat = LogFormat::text;
     const std::map<std::string, LogFormat> logFormats{{"text", LogFormat::text}, {"json", LogFormat::json}};
     const auto addLogOption = [&](CLI::App& command) {
-        command.add_option("--log", logFormat, "form of the log's lines")
+        command.add_option("--log", logFormat, "log format")
             ->type_name("text|json")
             ->transform(CLI::CheckedTransformer(logFormats, CLI::ignore_case).description(""));
     };
     addLogOption(app);
     std::function<int()> run = [&] { return serve(file, logFormat); };
 
-    CLI::App* serveCommand =
-        app.add_subcommand("serve", "run the scheduler (what happens without a sub-command)");
+    CLI::App* serveCommand = app.add_subcommand("serve", "run the scheduler (default)");
     addOperatorOption(*serveCommand);
     addLogOption(*serveCommand);
     CLI::App* checkCommand = app.add_subcommand(
-        "check", "check the configuration, the operator's file and the files that it names");
+        "check", "check the configuration, the operator's file and the node files that it names");
     addOperatorOption(*checkCommand);
     checkCommand->callback([&] { run = [&] { return check(file); }; });
     app.add_subcommand("version", "print the version")->callback([&] {
@@ -106,24 +106,25 @@
         };
     });
 #ifdef MARTENCOVE_OPERATOR
-    CLI::App* nodesCommand = app.add_subcommand("nodes", "files of storage nodes");
+    CLI::App* nodesCommand = app.add_subcommand("nodes", "manage node files");
     nodesCommand->require_subcommand(1);
     std::vector<std::string> paths;
     std::string before, after, argument;
-    CLI::App* nodesCheck = nodesCommand->add_subcommand("check", "judge files of nodes as a start would");
-    nodesCheck->add_option("path", paths, "files, or folders of *.textproto files")->required();
+    CLI::App* nodesCheck =
+        nodesCommand->add_subcommand("check", "check node files as the program does at startup");
+    nodesCheck->add_option("path", paths, "files, or directories of *.textproto files")->required();
     nodesCheck->callback([&] { run = [&] { return cli::checkNodes(paths); }; });
-    CLI::App* nodesDiff = nodesCommand->add_subcommand("diff", "tell the change from one version to another");
-    nodesDiff->add_option("before", before, "a file or folder")->required();
-    nodesDiff->add_option("after", after, "a file or folder")->required();
+    CLI::App* nodesDiff = nodesCommand->add_subcommand("diff", "print the changes between two versions");
+    nodesDiff->add_option("before", before, "a file or directory")->required();
+    nodesDiff->add_option("after", after, "a file or directory")->required();
     nodesDiff->callback([&] { run = [&] { return cli::diffNodes(before, after); }; });
     CLI::App* nodesSeal =
-        nodesCommand->add_subcommand("seal", "put a file's count and its last line right, after an edit");
+        nodesCommand->add_subcommand("seal", "update a file's node count and trailer line after an edit");
     nodesSeal->add_option("path", argument, "the file")->required();
     nodesSeal->callback([&] { run = [&] { return cli::sealNodes(argument); }; });
     CLI::App* nodesShow =
-        nodesCommand->add_subcommand("show", "ask a running scheduler for the version in force");
-    nodesShow->add_option("address", argument, "where its clients connect, host:port")->required();
+        nodesCommand->add_subcommand("show", "print the active version of a running scheduler");
+    nodesShow->add_option("address", argument, "client address of the scheduler, host:port")->required();
     nodesShow->callback([&] { run = [&] { return cli::showNodes(argument); }; });
 #endif
     try {
