--- a/tests/program/nbd_node.h
+++ b/tests/program/nbd_node.h
@@ -1,4 +1,4 @@
-// A stand-in storage node that speaks NBD, for tests.
+// A stub storage node that speaks NBD, for tests.
 #pragma once
 
 #include "nbd/codec.h"
@@ -8,83 +8,89 @@
 
 using namespace martencove::nbd;
 
-inline constexpr std::size_t kMost = 1 << 20;
-inline constexpr std::uint64_t kSize = 1 << 20;
+inline constexpr std::size_t kMaxMessageBytes = 1 << 20;
+inline constexpr std::uint64_t kExportBytes = 1 << 20;
 
-/// Takes one message off the front of what has come.
+/// Removes one message from the front of `buffer`. Returns whether a complete one was there.
 template <typename Message, typename... More>
-bool takeFrom(std::string& text, Message& out, More... more) {
-    std::string_view in = text;
-    const bool whole = decode(in, out, more...) == DecodeResult::complete;
-    text.erase(0, text.size() - in.size());
-    return whole;
+bool takeMessage(std::string& buffer, Message& out, More... more) {
+    std::string_view in = buffer;
+    const bool complete = decode(in, out, more...) == DecodeResult::complete;
+    buffer.erase(0, buffer.size() - in.size());
+    return complete;
 }
 
-/// A stand-in node: fixed newstyle and structured replies; `serve` gets each command.
-struct NbdNode {
-    using Serve = std::function<void(TestConnection&, const CommandMessage&)>;
-    NbdNode(event_base* base, Serve s)
-        : serve(std::move(s)), listener(base, [this](TestConnection& wire) { read(wire); }) {}
+/// A stub node with the fixed newstyle handshake and structured replies. Calls `handler` for each command.
+struct StubNbdNode {
+    using Handler = std::function<void(TestConnection&, const CommandMessage&)>;
+    StubNbdNode(event_base* base, Handler commandHandler)
+        : handler(std::move(commandHandler)),
+          listener(base, [this](TestConnection& connection) { handleInput(connection); }) {}
 
-    void read(TestConnection& wire) {
-        if (!greeted.contains(&wire)) return;
-        if (!flagged.contains(&wire)) {
-            if (wire.received.size() < 4) return;
-            wire.received.erase(0, 4);
-            flagged.insert(&wire);
+    void handleInput(TestConnection& connection) {
+        if (!greetedConnections.contains(&connection)) return;
+        if (!flagsReceived.contains(&connection)) {
+            if (connection.received.size() < 4) return;
+            connection.received.erase(0, 4);
+            flagsReceived.insert(&connection);
         }
         OptionMessage option;
-        while (!ready.contains(&wire) && takeFrom(wire.received, option, kMost)) {
-            if (option.option == Option::go && draining) {
-                --draining;
-                wire.send(encode(OptionReplyMessage{Option::go, OptionReplyType::shutdown, ""}));
+        while (!readyConnections.contains(&connection) &&
+               takeMessage(connection.received, option, kMaxMessageBytes)) {
+            if (option.option == Option::go && shutdownReplies) {
+                --shutdownReplies;
+                connection.send(encode(OptionReplyMessage{Option::go, OptionReplyType::shutdown, ""}));
                 continue;
             }
             if (option.option == Option::go) {
-                wire.send(encode(OptionReplyMessage{Option::go, OptionReplyType::info,
-                                                    encodeExportInfo({kSize, kExportHasFlags})}));
-                ready.insert(&wire);
+                connection.send(encode(OptionReplyMessage{
+                    Option::go, OptionReplyType::info, encodeExportInfo({kExportBytes, kExportHasFlags})}));
+                readyConnections.insert(&connection);
             }
-            wire.send(encode(OptionReplyMessage{option.option, OptionReplyType::ack, ""}));
+            connection.send(encode(OptionReplyMessage{option.option, OptionReplyType::ack, ""}));
         }
         CommandMessage command;
-        while (ready.contains(&wire) && takeFrom(wire.received, command, kMost)) {
+        while (readyConnections.contains(&connection) &&
+               takeMessage(connection.received, command, kMaxMessageBytes)) {
             commands.push_back(command);
-            serve(wire, command);
+            handler(connection, command);
         }
     }
-    /// The server speaks first.
-    void greet() {
-        for (TestConnection& wire : listener.connections) {
-            if (!greeted.insert(&wire).second) continue;
-            wire.send(encode(Greeting{kFixedNewstyle | kNoZeroes}));
+    /// Sends the greeting on new connections: in NBD the server sends first.
+    void sendGreetings() {
+        for (TestConnection& connection : listener.connections) {
+            if (!greetedConnections.insert(&connection).second) continue;
+            connection.send(encode(Greeting{kFixedNewstyle | kNoZeroes}));
         }
     }
 
-    Serve serve;
-    int draining = 0;  ///< so many handshakes are told of the shutdown
+    Handler handler;
+    int shutdownReplies = 0;  ///< number of handshakes still to be answered with "shutdown"
     std::vector<CommandMessage> commands;
-    std::set<TestConnection*> greeted, flagged, ready;
+    std::set<TestConnection*> greetedConnections, flagsReceived, readyConnections;
     TestServer listener;
 };
 
-inline void chunk(TestConnection& wire, const CommandMessage& c, ChunkType type, const std::string& payload,
-                  bool done = false) {
-    wire.send(encode(ChunkMessage{done ? kReplyFlagDone : std::uint16_t{0}, type, c.cookie, payload}));
+inline void sendChunk(TestConnection& connection, const CommandMessage& command, ChunkType type,
+                      const std::string& payload, bool done = false) {
+    connection.send(
+        encode(ChunkMessage{done ? kReplyFlagDone : std::uint16_t{0}, type, command.cookie, payload}));
 }
-inline std::string pattern(std::uint64_t offset, std::size_t length) {
+inline std::string patternBytes(std::uint64_t offset, std::size_t length) {
     std::string out(length, '\0');
     for (std::size_t i = 0; i < length; ++i) out[i] = static_cast<char>('a' + (offset + i) % 23);
     return out;
 }
-/// A read in three chunks out of order, one a hole; a write at once.
-inline void inChunks(TestConnection& wire, const CommandMessage& c) {
-    if (c.command == Command::write) return chunk(wire, c, ChunkType::none, "", true);
-    const std::uint32_t third = c.length / 3;
-    chunk(wire, c, ChunkType::data,
-          encodeData(c.offset + 2 * third, pattern(c.offset + 2 * third, c.length - 2 * third)));
-    chunk(wire, c, ChunkType::hole, encodeHole(c.offset + third, third));
-    chunk(wire, c, ChunkType::data, encodeData(c.offset, pattern(c.offset, third)), true);
+/// Answers a read in three chunks out of order, one of them a hole, and a write in one chunk.
+inline void replyInChunks(TestConnection& connection, const CommandMessage& command) {
+    if (command.command == Command::write) return sendChunk(connection, command, ChunkType::none, "", true);
+    const std::uint32_t third = command.length / 3;
+    sendChunk(connection, command, ChunkType::data,
+              encodeData(command.offset + 2 * third,
+                         patternBytes(command.offset + 2 * third, command.length - 2 * third)));
+    sendChunk(connection, command, ChunkType::hole, encodeHole(command.offset + third, third));
+    sendChunk(connection, command, ChunkType::data,
+              encodeData(command.offset, patternBytes(command.offset, third)), true);
 }
 
 }  // namespace martencove::test
--- a/tests/program/nbd_shutdown_test.cpp
+++ b/tests/program/nbd_shutdown_test.cpp
@@ -1,115 +1,116 @@
-// What the NBD front owes between SIGTERM and the exit, and when a client leaves whose commands are not read.
+// Tests the NBD front between SIGTERM and the exit, and clients that disconnect with unread commands.
 #include <doctest/doctest.h>
 
-#include "nbd_site.h"
+#include "nbd_harness.h"
 
 using namespace martencove::test;
 
 namespace {
 
-constexpr int kInWork = 16;  // commands of one client that are in work at once
+constexpr int kMaxCommandsInFlight = 16;  // per client
 constexpr double kLongBeforeDeadlineMs = 10'000;
 
-const auto hangs = [](TestConnection&, const CommandMessage&) {};
+const auto ignoreCommands = [](TestConnection&, const CommandMessage&) {};
 
-/// A site whose deadlines are far longer than any shutdown takes.
-struct LongSite : NbdSite {
-    LongSite() : NbdSite(hangs, 1000, 20'000) {}
+/// Uses deadlines far longer than any shutdown takes. The node answers no command.
+struct LongDeadlineHarness : NbdHarness {
+    LongDeadlineHarness() : NbdHarness(ignoreCommands, 1000, 20'000) {}
 
-    /// A client with as many commands in work as it may have; the server holds the answers of those it has
-    /// got.
-    TestConnection& fullClient() {
-        TestConnection& wire = ready();
-        for (int i = 1; i <= kInWork; ++i) wire.send(encode(readOf(static_cast<std::uint64_t>(i), 0, 512)));
-        REQUIRE(until([&] { return world.readCounter("request_taken") == kInWork; }));
-        return wire;
+    /// Connects a client with the maximum number of commands in flight.
+    TestConnection& connectFullClient() {
+        TestConnection& connection = openExport();
+        for (int i = 1; i <= kMaxCommandsInFlight; ++i)
+            connection.send(encode(readCommand(static_cast<std::uint64_t>(i), 0, 512)));
+        REQUIRE(waitUntil([&] { return program.readCounter("request_taken") == kMaxCommandsInFlight; }));
+        return connection;
     }
-    void terminate() {
-        world.sendSignal(SIGTERM);
-        REQUIRE(until([&] { return world.log.find("end: finishing") != std::string::npos; }));
+    void sendSigterm() {
+        program.sendSignal(SIGTERM);
+        REQUIRE(waitUntil([&] { return program.log.find("end: finishing") != std::string::npos; }));
     }
 };
 
 }  // namespace
 
-TEST_CASE("nbd shutdown: commands whose server hangs have their reply long before their deadline") {
-    LongSite t;
-    TestConnection& wire = t.ready();
-    wire.send(encode(readOf(1, 0, 512)) + encode(writeOf(2, 0, "text")));
-    REQUIRE(t.until([&] { return t.node.commands.size() == 2; }));
-    t.terminate();
+TEST_CASE("nbd shutdown: commands on a node that hangs are answered long before their deadline") {
+    LongDeadlineHarness harness;
+    TestConnection& connection = harness.openExport();
+    connection.send(encode(readCommand(1, 0, 512)) + encode(writeCommand(2, 0, "text")));
+    REQUIRE(harness.waitUntil([&] { return harness.node.commands.size() == 2; }));
+    harness.sendSigterm();
     std::set<std::uint64_t> answered;
     for (int i = 0; i < 2; ++i) {
         ChunkMessage reply;
-        REQUIRE(
-            t.world.waitUntil([&] { return takeFrom(wire.received, reply, kMost); }, kLongBeforeDeadlineMs));
+        REQUIRE(harness.program.waitUntil(
+            [&] { return takeMessage(connection.received, reply, kMaxMessageBytes); },
+            kLongBeforeDeadlineMs));
         CHECK(reply.type == ChunkType::error);
         answered.insert(reply.cookie);
     }
     CHECK(answered == std::set<std::uint64_t>{1, 2});
-    CHECK(t.world.stopAndWait() == 0);
+    CHECK(harness.program.stopAndWait() == 0);
 }
 
-// Guards against a close over commands that have come and were not read: it resets the connection, and with
-// it go the replies that are on their way.
-TEST_CASE("nbd shutdown: a client paused at its bound has a reply to each command that has come") {
-    LongSite t;
-    TestConnection& wire = t.fullClient();
-    constexpr int kMore = 8;  // of 64 KiB: more than is read before their turn
-    for (int i = 1; i <= kMore; ++i)
-        wire.send(encode(writeOf(static_cast<std::uint64_t>(kInWork + i), 0, std::string(65'536, 'x'))));
-    t.world.waitForNodeReuse();
-    t.terminate();
+// Guards against closing a connection with unread commands, which resets it and loses replies in flight.
+TEST_CASE("nbd shutdown: a client paused at its limit gets a reply to each command that has arrived") {
+    LongDeadlineHarness harness;
+    TestConnection& connection = harness.connectFullClient();
+    constexpr int kMoreCommands = 8;  // of 64 KiB each: more than is read ahead
+    for (int i = 1; i <= kMoreCommands; ++i)
+        connection.send(encode(
+            writeCommand(static_cast<std::uint64_t>(kMaxCommandsInFlight + i), 0, std::string(65'536, 'x'))));
+    harness.program.waitForNodeReuse();
+    harness.sendSigterm();
     std::map<std::uint64_t, Error> replies;
-    REQUIRE(t.world.waitUntil(
+    REQUIRE(harness.program.waitUntil(
         [&] {
             ChunkMessage reply;
-            while (takeFrom(wire.received, reply, kMost))
+            while (takeMessage(connection.received, reply, kMaxMessageBytes))
                 replies[reply.cookie] = decodeError(reply.payload)->error;
-            return replies.size() == kInWork + kMore || wire.closedByPeer;
+            return replies.size() == kMaxCommandsInFlight + kMoreCommands || connection.closedByPeer;
         },
         kLongBeforeDeadlineMs));
-    CHECK(replies.size() == kInWork + kMore);
+    CHECK(replies.size() == kMaxCommandsInFlight + kMoreCommands);
     for (const auto& [cookie, error] : replies)
-        CHECK(error == (cookie > kInWork ? Error::shutdown : Error::noMemory));
-    CHECK(t.world.stopAndWait() == 0);
+        CHECK(error == (cookie > kMaxCommandsInFlight ? Error::shutdown : Error::noMemory));
+    CHECK(harness.program.stopAndWait() == 0);
 }
 
-TEST_CASE("nbd shutdown: handshakes that stand still do not hold the exit up") {
-    LongSite t;
-    TestConnection& silent = t.client();
-    TestConnection& half = t.client();
-    half.send(encode(OptionMessage{Option::list, ""}).substr(0, 5));
-    t.terminate();
-    REQUIRE(t.world.waitUntil([&] { return t.world.log.find("end: exits") != std::string::npos; },
-                              kLongBeforeDeadlineMs));
-    CHECK(t.world.stopAndWait() == 0);
-    CHECK(t.world.waitUntil([&] { return silent.closedByPeer && half.closedByPeer; }));
+TEST_CASE("nbd shutdown: stalled handshakes do not delay the exit") {
+    LongDeadlineHarness harness;
+    TestConnection& silentClient = harness.connectClient();
+    TestConnection& partialOptionClient = harness.connectClient();
+    partialOptionClient.send(encode(OptionMessage{Option::list, ""}).substr(0, 5));
+    harness.sendSigterm();
+    REQUIRE(harness.program.waitUntil(
+        [&] { return harness.program.log.find("end: exits") != std::string::npos; }, kLongBeforeDeadlineMs));
+    CHECK(harness.program.stopAndWait() == 0);
+    CHECK(harness.program.waitUntil(
+        [&] { return silentClient.closedByPeer && partialOptionClient.closedByPeer; }));
 }
 
-// Guards against attempts for a client that has gone, where its close stands behind commands that nobody
-// reads.
-TEST_CASE("nbd: a client that leaves while its commands are not read has them called off") {
-    LongSite t;
-    TestConnection& wire = t.fullClient();
-    const std::string more = encode(writeOf(99, 0, std::string(65'536, 'x')));
-    bool reset = false;
-    SUBCASE("in order, with few commands behind") { wire.send(more); }
-    SUBCASE("in order, with more commands than are read before their turn") {
-        for (int i = 0; i < 2; ++i) wire.send(more);
+// Guards against attempts for a disconnected client whose close is queued behind unread commands.
+TEST_CASE("nbd: the commands of a client that disconnects with unread commands are cancelled") {
+    LongDeadlineHarness harness;
+    TestConnection& connection = harness.connectFullClient();
+    const std::string moreCommands = encode(writeCommand(99, 0, std::string(65'536, 'x')));
+    bool resetConnection = false;
+    SUBCASE("orderly close, with few unread commands") { connection.send(moreCommands); }
+    SUBCASE("orderly close, with more unread commands than are read ahead") {
+        for (int i = 0; i < 2; ++i) connection.send(moreCommands);
     }
-    SUBCASE("broken off, with more commands than are read before their turn") {
-        for (int i = 0; i < 8; ++i) wire.send(more);
-        reset = true;
+    SUBCASE("reset, with more unread commands than are read ahead") {
+        for (int i = 0; i < 8; ++i) connection.send(moreCommands);
+        resetConnection = true;
     }
-    t.world.waitForNodeReuse();
-    reset ? wire.sendAndReset("") : wire.close();
-    CHECK(t.until([&] {
-        for (TestConnection& server : t.node.listener.connections)
+    harness.program.waitForNodeReuse();
+    resetConnection ? connection.sendAndReset("") : connection.close();
+    CHECK(harness.waitUntil([&] {
+        for (TestConnection& server : harness.node.listener.connections)
             if (!server.closedByPeer) return false;
         return true;
     }));
-    CHECK(t.world.readCounter("client_gone") == kInWork);
-    CHECK(t.world.readCounter("request_taken") == kInWork);
-    CHECK(t.world.stopAndWait() == 0);
+    CHECK(harness.program.readCounter("client_gone") == kMaxCommandsInFlight);
+    CHECK(harness.program.readCounter("request_taken") == kMaxCommandsInFlight);
+    CHECK(harness.program.stopAndWait() == 0);
 }
--- a/tests/program/nbd_test.cpp
+++ b/tests/program/nbd_test.cpp
@@ -1,273 +1,286 @@
-// The NBD front: the program between NBD clients and stand-in nodes that speak NBD.
+// Tests the NBD front: the program runs between NBD clients and stub NBD nodes.
 #include <doctest/doctest.h>
 
-#include "nbd_site.h"
+#include "nbd_harness.h"
 
 using namespace martencove::test;
 
-// Guards against a codec that only agrees with itself: bytes as the specification has them.
-TEST_CASE("the codec's bytes are the specification's") {
+// Guards against a codec that is only consistent with itself: compares with bytes from the specification.
+TEST_CASE("codec: encoded messages match the specification") {
     using namespace std::string_literals;
     CHECK(encode(Greeting{3}) == "NBDMAGICIHAVEOPT\0\3"s);
     CHECK(encode(OptionMessage{Option::go, "x"}) == "IHAVEOPT\0\0\0\7\0\0\0\1x"s);
     CHECK(encode(OptionReplyMessage{Option::list, OptionReplyType::unknown, ""}) ==
           "\0\3\xe8\x89\x04\x55\x65\xa9\0\0\0\3\x80\0\0\6\0\0\0\0"s);
-    CHECK(encode(readOf(7, 512, 16)) ==
+    CHECK(encode(readCommand(7, 512, 16)) ==
           "\x25\x60\x95\x13\0\0\0\0\0\0\0\0\0\0\0\7\0\0\0\0\0\0\2\0\0\0\0\x10"s);
     CHECK(encode(SimpleReply{Error::io, 7}) == "\x67\x44\x66\x98\0\0\0\5\0\0\0\0\0\0\0\7"s);
     CHECK(encode(ChunkMessage{kReplyFlagDone, ChunkType::error, 7, encodeError({Error::noMemory, "no"})}) ==
           "\x66\x8e\x33\xef\0\1\x80\1\0\0\0\0\0\0\0\7\0\0\0\x8\0\0\0\xc\0\2no"s);
 }
 
-TEST_CASE("chunks are put together once, in any order, and nothing else") {
-    const auto data = [](std::uint64_t at, const std::string& text) {
-        return ChunkMessage{0, ChunkType::data, 1, encodeData(at, text)};
+TEST_CASE("ReadAssembler accepts each byte once, in any order, and rejects other chunks") {
+    const auto data = [](std::uint64_t offset, const std::string& text) {
+        return ChunkMessage{0, ChunkType::data, 1, encodeData(offset, text)};
     };
-    ReadAssembler good(100, 6, 9);
-    CHECK(good.add(data(103, "def")));
-    CHECK(!good.isComplete());
-    CHECK(good.add(data(100, "abc")));
-    CHECK(good.isComplete());
-    CHECK(good.data() == "abcdef");
-    CHECK(!good.add(data(100, "a")));                                                     // twice
-    CHECK(!ReadAssembler(100, 6, 9).add(data(99, "ab")));                                 // before
-    CHECK(!ReadAssembler(100, 6, 9).add(data(104, "abc")));                               // beyond
-    CHECK(!ReadAssembler(100, 6, 9).add({0, ChunkType::hole, 1, encodeHole(~0ull, 2)}));  // far beyond
-    CHECK(!ReadAssembler(100, 6, 0).add(data(100, "a")));                                 // one too many
+    ReadAssembler assembler(100, 6, 9);
+    CHECK(assembler.add(data(103, "def")));
+    CHECK(!assembler.isComplete());
+    CHECK(assembler.add(data(100, "abc")));
+    CHECK(assembler.isComplete());
+    CHECK(assembler.data() == "abcdef");
+    CHECK(!assembler.add(data(100, "a")));                                                // duplicate
+    CHECK(!ReadAssembler(100, 6, 9).add(data(99, "ab")));                                 // before the read
+    CHECK(!ReadAssembler(100, 6, 9).add(data(104, "abc")));                               // past its end
+    CHECK(!ReadAssembler(100, 6, 9).add({0, ChunkType::hole, 1, encodeHole(~0ull, 2)}));  // far past its end
+    CHECK(!ReadAssembler(100, 6, 0).add(data(100, "a")));                                 // too many chunks
     CHECK(!ReadAssembler(100, 6, 9).add({0, static_cast<ChunkType>(77), 1, ""}));
 }
 
 TEST_CASE("handshake: LIST, INFO, unknown names and options, ABORT, EXPORT_NAME") {
-    NbdSite t;
-    TestConnection& wire = t.client();
-    CHECK(t.option(wire, Option::list).data == encodeListEntry("disk"));
-    CHECK(t.next(wire).data == encodeListEntry("capped"));
-    CHECK(t.next(wire).data == encodeListEntry("nowhere"));
-    CHECK(t.next(wire).data == encodeListEntry("at once"));
-    CHECK(t.next(wire).type == OptionReplyType::ack);
-    CHECK(t.option(wire, Option::info, encode(InfoRequest{"none", {}})).type == OptionReplyType::unknown);
-    CHECK(t.option(wire, Option::go, "short").type == OptionReplyType::invalid);
-    CHECK(t.option(wire, static_cast<Option>(5)).type == OptionReplyType::unsupported);
-    const OptionReplyMessage info = t.option(wire, Option::info, encode(InfoRequest{"capped", {}}));
+    NbdHarness harness;
+    TestConnection& connection = harness.connectClient();
+    CHECK(harness.sendOption(connection, Option::list).data == encodeListEntry("disk"));
+    CHECK(harness.readOptionReply(connection).data == encodeListEntry("capped"));
+    CHECK(harness.readOptionReply(connection).data == encodeListEntry("nowhere"));
+    CHECK(harness.readOptionReply(connection).data == encodeListEntry("at once"));
+    CHECK(harness.readOptionReply(connection).type == OptionReplyType::ack);
+    CHECK(harness.sendOption(connection, Option::info, encode(InfoRequest{"none", {}})).type ==
+          OptionReplyType::unknown);
+    CHECK(harness.sendOption(connection, Option::go, "short").type == OptionReplyType::invalid);
+    CHECK(harness.sendOption(connection, static_cast<Option>(5)).type == OptionReplyType::unsupported);
+    const OptionReplyMessage info =
+        harness.sendOption(connection, Option::info, encode(InfoRequest{"capped", {}}));
     REQUIRE(decodeExportInfo(info.data));
-    CHECK(decodeExportInfo(info.data)->size == kSize);
+    CHECK(decodeExportInfo(info.data)->size == kExportBytes);
     CHECK((decodeExportInfo(info.data)->flags & kExportReadOnly) != 0);
-    CHECK(t.next(wire).type == OptionReplyType::info);  // block sizes
-    CHECK(t.next(wire).type == OptionReplyType::ack);
-    CHECK(t.option(wire, Option::abort).type == OptionReplyType::ack);
-    REQUIRE(t.until([&] { return wire.closedByPeer; }));
+    CHECK(harness.readOptionReply(connection).type == OptionReplyType::info);  // block sizes
+    CHECK(harness.readOptionReply(connection).type == OptionReplyType::ack);
+    CHECK(harness.sendOption(connection, Option::abort).type == OptionReplyType::ack);
+    REQUIRE(harness.waitUntil([&] { return connection.closedByPeer; }));
 
-    TestConnection& old = t.client();
-    old.send(encode(OptionMessage{Option::exportName, "disk"}) + encode(readOf(1, 0, 512)));
+    TestConnection& oldStyleClient = harness.connectClient();
+    oldStyleClient.send(encode(OptionMessage{Option::exportName, "disk"}) + encode(readCommand(1, 0, 512)));
     const std::size_t size = encodeExportNameReply({}, false).size() + encode(SimpleReply{}).size() + 512;
-    REQUIRE(t.until([&] { return old.received.size() == size; }));  // no structured replies were agreed on
+    REQUIRE(harness.waitUntil(
+        [&] { return oldStyleClient.received.size() == size; }));  // no structured replies were negotiated
 }
 
-TEST_CASE("a read in many chunks is answered by one; a write passes on; simple replies without the option") {
-    NbdSite t;
-    TestConnection& wire = t.ready();
-    const ChunkMessage read = t.ask(wire, readOf(7, 1024, 3000));
+TEST_CASE(
+    "a read in many chunks is answered in one; a write is forwarded; simple replies without the option") {
+    NbdHarness harness;
+    TestConnection& connection = harness.openExport();
+    const ChunkMessage read = harness.sendCommand(connection, readCommand(7, 1024, 3000));
     REQUIRE(read.type == ChunkType::data);
-    std::string expected = pattern(1024, 3000);
+    std::string expected = patternBytes(1024, 3000);
     expected.replace(1000, 1000, 1000, '\0');
     CHECK(read.payload == encodeData(1024, expected));
-    t.world.waitForNodeReuse();
-    CHECK(t.ask(wire, writeOf(8, 0, "text")).type == ChunkType::none);
-    CHECK(t.node.commands.back().data == "text");
-    CHECK(t.node.listener.connections.size() == 1);
+    harness.program.waitForNodeReuse();
+    CHECK(harness.sendCommand(connection, writeCommand(8, 0, "text")).type == ChunkType::none);
+    CHECK(harness.node.commands.back().data == "text");
+    CHECK(harness.node.listener.connections.size() == 1);
 
-    TestConnection& simple = t.ready("disk", false);
-    simple.send(encode(readOf(9, 0, 3)));
-    REQUIRE(t.until([&] { return simple.received.size() == 16 + 3; }));
-    CHECK(simple.received == encode(SimpleReply{Error::none, 9}) + std::string("a\0c", 3));
+    TestConnection& simpleReplyClient = harness.openExport("disk", false);
+    simpleReplyClient.send(encode(readCommand(9, 0, 3)));
+    REQUIRE(harness.waitUntil([&] { return simpleReplyClient.received.size() == 16 + 3; }));
+    CHECK(simpleReplyClient.received == encode(SimpleReply{Error::none, 9}) + std::string("a\0c", 3));
 }
 
-TEST_CASE("a refusal says when to come back; a node without the shard is one") {
-    NbdSite t;
-    TestConnection& wire = t.ready("nowhere");
-    const ChunkMessage refused = t.ask(wire, readOf(1, 0, 512));
+TEST_CASE("a command for a shard without nodes is refused with a retry time") {
+    NbdHarness harness;
+    TestConnection& connection = harness.openExport("nowhere");
+    const ChunkMessage refused = harness.sendCommand(connection, readCommand(1, 0, 512));
     REQUIRE(refused.type == ChunkType::error);
     CHECK(decodeError(refused.payload)->text == "refused, never ran: come back in 1.000 s");
-    CHECK(t.node.commands.empty());
+    CHECK(harness.node.commands.empty());
 }
 
-// Guards against turning a command away beyond the bound without a word of when to come back, as HTTP says
-// it.
-TEST_CASE("beyond the bound on open requests a command is refused and told when to come back") {
-    NbdSite t([](TestConnection&, const CommandMessage&) {}, 1);
-    TestConnection& wire = t.ready();
-    wire.send(encode(readOf(1, 0, 512)));
-    REQUIRE(t.until([&] { return t.node.commands.size() == 1; }));
-    const ChunkMessage refused = t.ask(wire, readOf(2, 0, 512));
+// Guards against a refusal beyond the limit without a retry time, which the HTTP front also sends.
+TEST_CASE("a command beyond the limit of open requests is refused with a retry time") {
+    NbdHarness harness([](TestConnection&, const CommandMessage&) {}, 1);
+    TestConnection& connection = harness.openExport();
+    connection.send(encode(readCommand(1, 0, 512)));
+    REQUIRE(harness.waitUntil([&] { return harness.node.commands.size() == 1; }));
+    const ChunkMessage refused = harness.sendCommand(connection, readCommand(2, 0, 512));
     REQUIRE(refused.type == ChunkType::error);
     CHECK(decodeError(refused.payload)->text == "refused, never ran: come back in 1.000 s");
-    CHECK(t.world.readCounter("request_not_taken") == 1);
+    CHECK(harness.program.readCounter("request_not_taken") == 1);
 }
 
-// Guards against taking a command's bytes twice where its answer comes within the call that takes it: such a
-// short deadline is over at once.
-TEST_CASE("commands that are refused at once are each answered once") {
-    NbdSite t;
-    TestConnection& wire = t.ready("at once");
-    wire.send(encode(readOf(1, 0, 512)) + encode(readOf(2, 0, 512)) + encode(readOf(3, 0, 512)));
+// Guards against processing a command's bytes twice if it is answered inside the call that submits it. The
+// export's deadline is so short that this always happens.
+TEST_CASE("commands that are refused immediately are each answered once") {
+    NbdHarness harness;
+    TestConnection& connection = harness.openExport("at once");
+    connection.send(encode(readCommand(1, 0, 512)) + encode(readCommand(2, 0, 512)) +
+                    encode(readCommand(3, 0, 512)));
     for (const std::uint64_t cookie : {1, 2, 3}) {
-        const ChunkMessage refused = t.reply(wire);
+        const ChunkMessage refused = harness.readReply(connection);
         CHECK(refused.type == ChunkType::error);
         CHECK(refused.cookie == cookie);
     }
-    CHECK(t.world.readCounter("request_taken") == 3);
+    CHECK(harness.program.readCounter("request_taken") == 3);
 }
 
-// The plan's limit holds on this front as on the other: 4 units at once, 20 a second; 8 commands of 2 units
-// take over half a second of it.
-TEST_CASE("a plan's limit holds for NBD, and what it does not cover in time is refused") {
-    NbdSite t;
-    TestConnection& wire = t.ready("capped");
-    for (std::uint64_t i = 0; i < 40; ++i) wire.send(encode(readOf(i, 0, 1024)));
+// The plan's limit is a burst of 4 units and 20 units per second, for NBD as for HTTP. 8 commands of 2 units
+// need more than half a second.
+TEST_CASE("a plan's limit applies to NBD, and commands that it does not admit in time are refused") {
+    NbdHarness harness;
+    TestConnection& connection = harness.openExport("capped");
+    for (std::uint64_t i = 0; i < 40; ++i) connection.send(encode(readCommand(i, 0, 1024)));
     int refused = 0;
-    for (int i = 0; i < 40; ++i) refused += t.reply(wire).type == ChunkType::error;
+    for (int i = 0; i < 40; ++i) refused += harness.readReply(connection).type == ChunkType::error;
     CHECK(refused > 0);
-    CHECK(t.node.commands.size() + refused == 40);
+    CHECK(harness.node.commands.size() + refused == 40);
 }
 
-// NBD has no key by which a node could drop a repeat.
+// NBD has no key by which a node could recognize a repeated write.
 TEST_CASE("a write that may have run is not sent again; a read is") {
-    bool broken = false;
-    NbdSite t([&](TestConnection& wire, const CommandMessage& c) {
-        if (!std::exchange(broken, true)) return wire.close();
-        inChunks(wire, c);
+    bool connectionClosed = false;
+    NbdHarness harness([&](TestConnection& connection, const CommandMessage& command) {
+        if (!std::exchange(connectionClosed, true)) return connection.close();
+        replyInChunks(connection, command);
     });
-    TestConnection& wire = t.ready();
-    const ChunkMessage failed = t.ask(wire, writeOf(1, 0, "text"));
+    TestConnection& connection = harness.openExport();
+    const ChunkMessage failed = harness.sendCommand(connection, writeCommand(1, 0, "text"));
     REQUIRE(failed.type == ChunkType::error);
     CHECK(decodeError(failed.payload)->error == Error::io);
-    CHECK(t.node.commands.size() == 1);
-    broken = false;
-    CHECK(t.ask(wire, readOf(2, 0, 512)).type == ChunkType::data);
-    CHECK(t.node.commands.size() == 3);
+    CHECK(harness.node.commands.size() == 1);
+    connectionClosed = false;
+    CHECK(harness.sendCommand(connection, readCommand(2, 0, 512)).type == ChunkType::data);
+    CHECK(harness.node.commands.size() == 3);
 }
 
-TEST_CASE("a node's error chunk, and one that answers out of place") {
-    int turn = 0;
-    NbdSite t([&](TestConnection& wire, const CommandMessage& c) {
-        if (++turn == 1) return chunk(wire, c, ChunkType::error, encodeError({Error::io, "disk"}), true);
-        if (turn == 2) return chunk(wire, c, ChunkType::data, encodeData(c.offset + c.length, "x"), true);
-        inChunks(wire, c);
+TEST_CASE("a node's error chunk and a chunk outside the read each fail the attempt") {
+    int commandNumber = 0;
+    NbdHarness harness([&](TestConnection& connection, const CommandMessage& command) {
+        if (++commandNumber == 1)
+            return sendChunk(connection, command, ChunkType::error, encodeError({Error::io, "disk"}), true);
+        if (commandNumber == 2)
+            return sendChunk(connection, command, ChunkType::data,
+                             encodeData(command.offset + command.length, "x"), true);
+        replyInChunks(connection, command);
     });
-    CHECK(t.ask(t.ready(), readOf(1, 0, 512)).type == ChunkType::data);
-    CHECK(t.world.readCounter("attempt_error") == 1);
-    CHECK(t.world.readCounter("nbd_node_bad") == 1);
-    CHECK(t.world.readCounter("attempt_spoilt") == 1);
+    CHECK(harness.sendCommand(harness.openExport(), readCommand(1, 0, 512)).type == ChunkType::data);
+    CHECK(harness.program.readCounter("attempt_error") == 1);
+    CHECK(harness.program.readCounter("nbd_node_bad") == 1);
+    CHECK(harness.program.readCounter("attempt_spoilt") == 1);
 }
 
-// Guards against a later command being answered with what came behind an earlier one's reply.
-TEST_CASE("bytes behind a node's reply: it stands, and the connection is not used again") {
-    NbdSite t([&](TestConnection& wire, const CommandMessage& c) {
-        inChunks(wire, c);
-        wire.send("more");
+// Guards against answering a later command with bytes that followed an earlier one's reply.
+TEST_CASE("extra bytes after a node's reply: the reply is valid, and the connection is not reused") {
+    NbdHarness harness([&](TestConnection& connection, const CommandMessage& command) {
+        replyInChunks(connection, command);
+        connection.send("more");
     });
-    TestConnection& wire = t.ready();
-    CHECK(t.ask(wire, readOf(1, 0, 512)).type == ChunkType::data);
-    t.world.waitForNodeReuse();
-    CHECK(t.ask(wire, readOf(2, 0, 512)).type == ChunkType::data);
-    CHECK(t.node.listener.connections.size() == 2);
-    CHECK(t.world.readCounter("attempt_served") == 2);
+    TestConnection& connection = harness.openExport();
+    CHECK(harness.sendCommand(connection, readCommand(1, 0, 512)).type == ChunkType::data);
+    harness.program.waitForNodeReuse();
+    CHECK(harness.sendCommand(connection, readCommand(2, 0, 512)).type == ChunkType::data);
+    CHECK(harness.node.listener.connections.size() == 2);
+    CHECK(harness.program.readCounter("attempt_served") == 2);
 }
 
-// Hard case: a reply of many chunks when the client gives up halfway.
-TEST_CASE("a client that leaves mid-reply: its attempt is called off and nothing is answered twice") {
-    TestConnection* half = nullptr;
-    NbdSite t([&](TestConnection& wire, const CommandMessage& c) {
-        if (half != nullptr) return inChunks(wire, c);
-        half = &wire;
-        chunk(wire, c, ChunkType::data, encodeData(c.offset, pattern(c.offset, 512)));
+// The client disconnects while the node has sent only some chunks of the reply.
+TEST_CASE("a client that disconnects mid-reply: its attempt is cancelled and nothing is answered twice") {
+    TestConnection* halfAnswered = nullptr;
+    NbdHarness harness([&](TestConnection& connection, const CommandMessage& command) {
+        if (halfAnswered != nullptr) return replyInChunks(connection, command);
+        halfAnswered = &connection;
+        sendChunk(connection, command, ChunkType::data,
+                  encodeData(command.offset, patternBytes(command.offset, 512)));
     });
-    TestConnection& wire = t.ready();
-    wire.send(encode(readOf(1, 0, 4096)));
-    REQUIRE(t.until([&] { return half != nullptr; }));
-    wire.close();
-    REQUIRE(t.until([&] { return half->closedByPeer; }));
-    CHECK(t.ask(t.ready(), readOf(2, 0, 512)).type == ChunkType::data);
-    CHECK(t.world.readCounter("request_taken") == 2);
-    CHECK(t.world.readCounter("client_gone") == 1);
-    CHECK(t.world.readCounter("answer_served") == 1);
-    CHECK(t.world.readCounter("answer_failed") + t.world.readCounter("answer_refused") == 0);
+    TestConnection& connection = harness.openExport();
+    connection.send(encode(readCommand(1, 0, 4096)));
+    REQUIRE(harness.waitUntil([&] { return halfAnswered != nullptr; }));
+    connection.close();
+    REQUIRE(harness.waitUntil([&] { return halfAnswered->closedByPeer; }));
+    CHECK(harness.sendCommand(harness.openExport(), readCommand(2, 0, 512)).type == ChunkType::data);
+    CHECK(harness.program.readCounter("request_taken") == 2);
+    CHECK(harness.program.readCounter("client_gone") == 1);
+    CHECK(harness.program.readCounter("answer_served") == 1);
+    CHECK(harness.program.readCounter("answer_failed") + harness.program.readCounter("answer_refused") == 0);
 }
 
-// Hard case: a server that drains during a handshake. Nothing has run: even a write goes out again.
-TEST_CASE("a node that drains during the handshake never ran the command") {
-    NbdSite t;
-    t.node.draining = 1;
-    CHECK(t.ask(t.ready(), writeOf(1, 0, "text")).type == ChunkType::none);
-    CHECK(t.node.commands.size() == 1);
-    CHECK(t.world.readCounter("attempt_turned_away") == 1);
+// A node that shuts down during the handshake has run nothing, so even a write is retried.
+TEST_CASE("a node that shuts down during the handshake has not run the command") {
+    NbdHarness harness;
+    harness.node.shutdownReplies = 1;
+    CHECK(harness.sendCommand(harness.openExport(), writeCommand(1, 0, "text")).type == ChunkType::none);
+    CHECK(harness.node.commands.size() == 1);
+    CHECK(harness.program.readCounter("attempt_turned_away") == 1);
 }
 
-TEST_CASE("the program drains: handshakes are told, commands in work are finished, exit 0") {
-    TestConnection* held = nullptr;
-    CommandMessage command;
-    NbdSite t([&](TestConnection& wire, const CommandMessage& c) {
-        held = &wire;
-        command = c;
+TEST_CASE("shutdown: handshakes get a shutdown error, commands in flight are finished, exit code 0") {
+    TestConnection* heldConnection = nullptr;
+    CommandMessage heldCommand;
+    NbdHarness harness([&](TestConnection& connection, const CommandMessage& command) {
+        heldConnection = &connection;
+        heldCommand = command;
     });
-    TestConnection& wire = t.ready();
-    TestConnection& shaking = t.client();
-    wire.send(encode(readOf(1, 0, 512)));
-    REQUIRE(t.until([&] { return held != nullptr; }));
-    t.world.sendSignal(SIGTERM);
-    REQUIRE(t.until([&] {  // until the listener is closed
-        TestConnection probe(t.world.base.get(), t.world.nbdListenAddress);
-        return t.world.waitUntil([&] { return probe.closedByPeer && probe.received.empty(); }, 50);
+    TestConnection& connection = harness.openExport();
+    TestConnection& handshakingClient = harness.connectClient();
+    connection.send(encode(readCommand(1, 0, 512)));
+    REQUIRE(harness.waitUntil([&] { return heldConnection != nullptr; }));
+    harness.program.sendSignal(SIGTERM);
+    REQUIRE(harness.waitUntil([&] {  // until the listener is closed
+        TestConnection probe(harness.program.base.get(), harness.program.nbdListenAddress);
+        return harness.program.waitUntil([&] { return probe.closedByPeer && probe.received.empty(); }, 50);
     }));
-    CHECK(t.option(shaking, Option::go, encode(InfoRequest{"disk", {}})).type == OptionReplyType::shutdown);
-    inChunks(*held, command);
-    CHECK(t.reply(wire).type == ChunkType::data);
-    CHECK(t.world.stopAndWait() == 0);
+    CHECK(harness.sendOption(handshakingClient, Option::go, encode(InfoRequest{"disk", {}})).type ==
+          OptionReplyType::shutdown);
+    replyInChunks(*heldConnection, heldCommand);
+    CHECK(harness.readReply(connection).type == ChunkType::data);
+    CHECK(harness.program.stopAndWait() == 0);
 }
 
-TEST_CASE("hostile clients: a defined answer or close, and the program stands") {
-    NbdSite t;
-    const auto closes = [&](const std::string& bytes) {
-        TestConnection& wire = t.client();
-        wire.send(bytes);
-        CHECK(t.until([&] { return wire.closedByPeer; }));
+TEST_CASE("invalid input from clients gets a defined reply or close, and the program keeps running") {
+    NbdHarness harness;
+    const auto expectClose = [&](const std::string& bytes) {
+        TestConnection& connection = harness.connectClient();
+        connection.send(bytes);
+        CHECK(harness.waitUntil([&] { return connection.closedByPeer; }));
     };
-    closes("garbage garbage garbage");
-    closes("IHAVEOPT\1\1\1\1\xff\xff\xff\xff");
-    closes(encode(OptionMessage{Option::exportName, "none"}));
-    TestConnection& flags = t.world.connect(t.world.nbdListenAddress);
-    flags.send("\xff\xff\xff\xff");
-    CHECK(t.until([&] { return flags.closedByPeer; }));
+    expectClose("garbage garbage garbage");
+    expectClose("IHAVEOPT\1\1\1\1\xff\xff\xff\xff");
+    expectClose(encode(OptionMessage{Option::exportName, "none"}));
+    TestConnection& badFlagsClient = harness.program.connect(harness.program.nbdListenAddress);
+    badFlagsClient.send("\xff\xff\xff\xff");
+    CHECK(harness.waitUntil([&] { return badFlagsClient.closedByPeer; }));
 
-    TestConnection& wire = t.ready();
-    const auto errorOf = [&](const CommandMessage& c) { return decodeError(t.ask(wire, c).payload)->error; };
-    CHECK(errorOf(readOf(1, kSize - 1, 2)) == Error::invalid);
-    CHECK(errorOf(readOf(2, ~0ull, 2)) == Error::invalid);
-    CHECK(errorOf(readOf(3, 0, 0)) == Error::invalid);
-    CHECK(errorOf(readOf(4, 0, 0xffffffff)) == Error::invalid);
-    CHECK(errorOf(writeOf(5, kSize - 1, "xx")) == Error::noSpace);
+    TestConnection& connection = harness.openExport();
+    const auto errorOf = [&](const CommandMessage& command) {
+        return decodeError(harness.sendCommand(connection, command).payload)->error;
+    };
+    CHECK(errorOf(readCommand(1, kExportBytes - 1, 2)) == Error::invalid);
+    CHECK(errorOf(readCommand(2, ~0ull, 2)) == Error::invalid);
+    CHECK(errorOf(readCommand(3, 0, 0)) == Error::invalid);
+    CHECK(errorOf(readCommand(4, 0, 0xffffffff)) == Error::invalid);
+    CHECK(errorOf(writeCommand(5, kExportBytes - 1, "xx")) == Error::noSpace);
     CHECK(errorOf({1, Command::read, 6, 0, 1, ""}) == Error::invalid);
     CHECK(errorOf({0, static_cast<Command>(3), 7, 0, 0, ""}) == Error::invalid);
-    CHECK(errorOf(writeOf(8, 0, std::string(70000, 'x'))) == Error::invalid);
-    CHECK(t.until([&] { return wire.closedByPeer; }));
-    CHECK(t.node.commands.empty());
-    CHECK(t.ask(t.ready(), readOf(1, 0, 512)).type == ChunkType::data);
+    CHECK(errorOf(writeCommand(8, 0, std::string(70000, 'x'))) == Error::invalid);
+    CHECK(harness.waitUntil([&] { return connection.closedByPeer; }));
+    CHECK(harness.node.commands.empty());
+    CHECK(harness.sendCommand(harness.openExport(), readCommand(1, 0, 512)).type == ChunkType::data);
 }
 
-TEST_CASE("a bad value in the operator's file: one line that names the field, and no start") {
-    NbdSite t;
-    const auto refused = [&](const std::string& field, const std::function<void(Json&)>& spoil) {
-        Json nbd = t.world.nbdSection;
-        spoil(nbd);
-        const auto [code, text] = runUntilExit(t.world.config, nbd);
+TEST_CASE(
+    "an invalid value in the operator's file: one line that names the field, and the program does not "
+    "start") {
+    NbdHarness harness;
+    const auto expectRejected = [&](const std::string& field, const std::function<void(Json&)>& change) {
+        Json nbd = harness.program.nbdSection;
+        change(nbd);
+        const auto [code, text] = runUntilExit(harness.program.config, nbd);
         CHECK(code == 1);
         CHECK_MESSAGE(text.find("/operator.textproto:") != text.npos, text);  // with line and column
         CHECK_MESSAGE(text.find(": " + field + ": ") != text.npos, text);
     };
-    refused("listen", [](Json& n) { n["listen"] = "x"; });
-    refused("unit_bytes", [](Json& n) { n["unit_bytes"] = 0; });
-    refused("read_class", [](Json& n) { n["exports"][0]["read_class"] = "x"; });
-    refused("plan", [](Json& n) { n["exports"][0]["plan"] = "x"; });
-    refused("name", [](Json& n) { n["exports"][1]["name"] = "disk"; });
-    refused("nodes", [](Json& n) { n["nodes"]["s-1"] = "x"; });
+    expectRejected("listen", [](Json& section) { section["listen"] = "x"; });
+    expectRejected("unit_bytes", [](Json& section) { section["unit_bytes"] = 0; });
+    expectRejected("read_class", [](Json& section) { section["exports"][0]["read_class"] = "x"; });
+    expectRejected("plan", [](Json& section) { section["exports"][0]["plan"] = "x"; });
+    expectRejected("name", [](Json& section) { section["exports"][1]["name"] = "disk"; });
+    expectRejected("nodes", [](Json& section) { section["nodes"]["s-1"] = "x"; });
 }
--- a/tests/program/retune_test.cpp
+++ b/tests/program/retune_test.cpp
@@ -1,5 +1,5 @@
-// Settings that change while the program runs: numbers that requests hold, files that are not whole, and the
-// program itself at SIGHUP.
+// Tests settings that change while the program runs: class numbers that open requests use, incomplete files,
+// and the reload on SIGHUP.
 #include "settings_json/retune.h"
 
 #include <doctest/doctest.h>
@@ -10,20 +10,20 @@
 using namespace martencove::test;
 using limedrum::fields::FieldError;
 
-TEST_CASE("retune: unchanged classes keep their numbers, others get new ones, plans keep their places") {
-    ProgramHarness world;
-    const Json json = world.config["settings"];
+TEST_CASE("retune: unchanged classes keep their numbers, others get new ones, plans keep their order") {
+    ProgramHarness program;
+    const Json json = program.config["settings"];
     limedrum::ProgramSettings now = limedrum::decodeSettings(json);
     Json changed = json;
-    changed["Classes"] = Json::array({json["Classes"][1], json["Classes"][0]});  // in another order
-    changed["Classes"][0]["Idempotency"] = "fragile";  // and "write" has another effect
+    changed["Classes"] = Json::array({json["Classes"][1], json["Classes"][0]});  // in a different order
+    changed["Classes"][0]["Idempotency"] = "fragile";  // changes the rules of "write"
     limedrum::ProgramSettings next = limedrum::mergeSettings(now, limedrum::decodeSettings(changed));
     CHECK(next.classNames == std::vector<std::string>{"read", "/", "write"});
     CHECK(next.scheduler.classes[1].idempotency ==
-          limedrum::Idempotency::deduplicated);  // for those that hold the number
+          limedrum::Idempotency::deduplicated);  // for requests that use the number
     CHECK(next.scheduler.classes[1].retired);
     CHECK(next.scheduler.classes[2].idempotency == limedrum::Idempotency::nonIdempotent);
-    // And back: the number with the old rules is taken again, so that the table does not grow.
+    // With the old rules again the old number is reused, so that the table does not grow.
     next = limedrum::mergeSettings(next, limedrum::decodeSettings(json));
     CHECK(next.classNames == std::vector<std::string>{"read", "write", "/"});
     CHECK(!next.scheduler.classes[1].retired);
@@ -35,7 +35,7 @@
     bad["Classes"][1]["Name"] = "read";
     CHECK_THROWS_AS((void)limedrum::mergeSettings(now, limedrum::decodeSettings(bad)), FieldError);
     bad = json;
-    for (int i = 0; i < 2000; ++i) {  // a table that would grow for good is bounded
+    for (int i = 0; i < 2000; ++i) {  // the table's size is limited
         bad["Classes"][0]["AimMs"] = 300 + i;
         try {
             now = limedrum::mergeSettings(now, limedrum::decodeSettings(bad));
@@ -46,12 +46,12 @@
     CHECK(now.scheduler.classes.size() == 1024);
 }
 
-TEST_CASE("retune: a file that lacks what the present one has is not whole") {
+TEST_CASE("retune: a file that lacks keys of the current one is rejected") {
     const Json now{{"a", 1}, {"b", {{"c", 2}, {"d", {{"e", 3}}}}}, {"l", {{{"x", 1}, {"y", 1}}, {{"x", 2}}}}};
     CHECK_NOTHROW(limedrum::requireKeys(now, now));
     Json more = now;
     more["b"]["new"] = 1;
-    more["l"].push_back({{"x", 3}, {"z", 1}});  // "y" is not in all of them
+    more["l"].push_back({{"x", 3}, {"z", 1}});  // "y" is not in all entries
     CHECK_NOTHROW(limedrum::requireKeys(now, more));
     Json less = now;
     less["b"]["d"].erase("e");
@@ -64,70 +64,72 @@
     CHECK_THROWS_WITH_AS(limedrum::requireKeys(now, less), "a: missing", FieldError);
 }
 
-TEST_CASE(
-    "SIGHUP: new classes come into force, open requests keep the old rules, broken files change nothing") {
-    ProgramHarness world;
-    std::vector<TestConnection*> held;
-    StubHttpNode node(world.base.get(),
-                      [&](TestConnection& wire, const ParsedHttpMessage&) { held.push_back(&wire); });
-    world.config["known"]["hosts"].push_back(world.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
-    world.start();
-    const Json good = world.config;
-    // A read that is open while its class changes to one that may not be repeated.
-    TestConnection& before = world.connect();
-    before.send(world.makeRequest("0000000000000001"));
-    REQUIRE(world.waitUntil([&] { return held.size() == 1; }));
+TEST_CASE("SIGHUP: new classes take effect, open requests keep the old rules, invalid files change nothing") {
+    ProgramHarness program;
+    std::vector<TestConnection*> openRequests;
+    StubHttpNode node(program.base.get(), [&](TestConnection& connection, const ParsedHttpMessage&) {
+        openRequests.push_back(&connection);
+    });
+    program.config["known"]["hosts"].push_back(
+        program.makeNodeEntry("s-1", node.listener.address, 5, "ready"));
+    program.start();
+    const Json validConfig = program.config;
+    // A read that is open while its class changes to one that must not be retried.
+    TestConnection& clientBefore = program.connect();
+    clientBefore.send(program.makeRequest("0000000000000001"));
+    REQUIRE(program.waitUntil([&] { return openRequests.size() == 1; }));
 
-    int bads = 0;
-    const auto refused = [&](const std::string& text) {
-        world.rewriteConfig(text);
-        world.sendSignal(SIGHUP);
-        ++bads;
-        return world.waitUntil([&] { return world.readCounter("config_bad") == bads; });
+    int rejectedFiles = 0;
+    const auto rejectsText = [&](const std::string& text) {
+        program.rewriteConfig(text);
+        program.sendSignal(SIGHUP);
+        ++rejectedFiles;
+        return program.waitUntil([&] { return program.readCounter("config_bad") == rejectedFiles; });
     };
-    const auto broken = [&](const std::function<void(Json&)>& change) {
-        Json bad = good;
+    const auto rejectsChange = [&](const std::function<void(Json&)>& change) {
+        Json bad = validConfig;
         change(bad);
-        return refused(bad.dump());
+        return rejectsText(bad.dump());
     };
-    CHECK(refused(""));
-    CHECK(refused(good.dump().substr(0, good.dump().size() / 2)));
-    CHECK(broken([](Json& c) { c["settings"].erase("Rules"); }));
-    CHECK(broken([](Json& c) { c["settings"]["Limits"].erase("SendCap"); }));
-    CHECK(broken([](Json& c) { c["settings"]["Classes"][0].erase("DeadlineMs"); }));
-    CHECK(broken([](Json& c) { c["settings"]["Classes"][0]["DeadlineMs"] = 0; }));
-    CHECK(broken([](Json& c) { c["settings"]["Classes"][0]["DeadlineMs"] = "soon"; }));
-    CHECK(broken([](Json& c) { c["settings"]["Limits"]["SendCap"] = 0; }));
-    CHECK(broken([](Json& c) { c["settings"]["Limits"]["SendCap"] = -2; }));
-    CHECK(broken([](Json& c) { c["settings"]["Classes"] = Json::array(); }));
+    CHECK(rejectsText(""));
+    CHECK(rejectsText(validConfig.dump().substr(0, validConfig.dump().size() / 2)));
+    CHECK(rejectsChange([](Json& config) { config["settings"].erase("Rules"); }));
+    CHECK(rejectsChange([](Json& config) { config["settings"]["Limits"].erase("SendCap"); }));
+    CHECK(rejectsChange([](Json& config) { config["settings"]["Classes"][0].erase("DeadlineMs"); }));
+    CHECK(rejectsChange([](Json& config) { config["settings"]["Classes"][0]["DeadlineMs"] = 0; }));
+    CHECK(rejectsChange([](Json& config) { config["settings"]["Classes"][0]["DeadlineMs"] = "soon"; }));
+    CHECK(rejectsChange([](Json& config) { config["settings"]["Limits"]["SendCap"] = 0; }));
+    CHECK(rejectsChange([](Json& config) { config["settings"]["Limits"]["SendCap"] = -2; }));
+    CHECK(rejectsChange([](Json& config) { config["settings"]["Classes"] = Json::array(); }));
 
-    world.config["settings"]["Classes"][0]["Idempotency"] = "fragile";
-    world.config["settings"]["Classes"][1]["Name"] = "scan";
-    world.rewriteConfig();
-    world.sendSignal(SIGHUP);
-    REQUIRE(world.waitUntil([&] { return world.readCounter("config_read") == 1; }));
-    const auto with = [&](const std::string& id, const std::string& cls) {
-        std::string text = world.makeRequest(id);
-        return text.replace(text.find("/read"), 5, "/" + cls);
+    program.config["settings"]["Classes"][0]["Idempotency"] = "fragile";
+    program.config["settings"]["Classes"][1]["Name"] = "scan";
+    program.rewriteConfig();
+    program.sendSignal(SIGHUP);
+    REQUIRE(program.waitUntil([&] { return program.readCounter("config_read") == 1; }));
+    const auto requestOfClass = [&](const std::string& id, const std::string& className) {
+        std::string text = program.makeRequest(id);
+        return text.replace(text.find("/read"), 5, "/" + className);
     };
-    CHECK(world.sendRequest(with("0000000000000002", "write")).statusCode() == 400);  // dropped
-    TestConnection& scan = world.connect();
-    scan.send(with("0000000000000003", "scan"));
-    REQUIRE(world.waitUntil([&] { return held.size() == 2; }));
-    held[1]->send(makeHttpReply(200, "scanned"));
-    REQUIRE(world.waitUntil([&] { return takeHttpMessage(scan.received).has_value(); }));
-    // The new rule of "read": one that may have run fails. The open one has the old rule: it goes out again.
-    TestConnection& after = world.connect();
-    after.send(with("0000000000000004", "read"));
-    REQUIRE(world.waitUntil([&] { return held.size() == 3; }));
-    held[2]->close();
+    CHECK(program.sendRequest(requestOfClass("0000000000000002", "write")).statusCode() ==
+          400);  // class was removed
+    TestConnection& scanClient = program.connect();
+    scanClient.send(requestOfClass("0000000000000003", "scan"));
+    REQUIRE(program.waitUntil([&] { return openRequests.size() == 2; }));
+    openRequests[1]->send(makeHttpReply(200, "scanned"));
+    REQUIRE(program.waitUntil([&] { return takeHttpMessage(scanClient.received).has_value(); }));
+    // A new "read" that may have run fails by the new rules. The open one is retried by the old rules.
+    TestConnection& clientAfter = program.connect();
+    clientAfter.send(requestOfClass("0000000000000004", "read"));
+    REQUIRE(program.waitUntil([&] { return openRequests.size() == 3; }));
+    openRequests[2]->close();
     std::optional<ParsedHttpMessage> answer;
-    REQUIRE(world.waitUntil([&] { return (answer = takeHttpMessage(after.received)).has_value(); }));
+    REQUIRE(program.waitUntil([&] { return (answer = takeHttpMessage(clientAfter.received)).has_value(); }));
     CHECK(answer->statusCode() == 502);
-    held[0]->close();
-    REQUIRE(world.waitUntil([&] { return held.size() == 4; }));
-    held[3]->send(makeHttpReply(200, "by the old rule"));
-    REQUIRE(world.waitUntil([&] { return (answer = takeHttpMessage(before.received)).has_value(); }));
+    openRequests[0]->close();
+    REQUIRE(program.waitUntil([&] { return openRequests.size() == 4; }));
+    openRequests[3]->send(makeHttpReply(200, "by the old rule"));
+    REQUIRE(program.waitUntil([&] { return (answer = takeHttpMessage(clientBefore.received)).has_value(); }));
     CHECK(answer->body == "by the old rule");
-    CHECK(world.stopAndWait() == 0);
+    CHECK(program.stopAndWait() == 0);
 }
