--- a/src/nbd/codec.cpp
+++ b/src/nbd/codec.cpp
@@ -6,11 +6,11 @@
 namespace martencove::nbd {
 namespace {
 
-constexpr std::uint64_t kHello = 0x4e42444d41474943;        // "NBDMAGIC"
+constexpr std::uint64_t kInitMagic = 0x4e42444d41474943;    // "NBDMAGIC"
 constexpr std::uint64_t kOptionMagic = 0x49484156454f5054;  // "IHAVEOPT"
-constexpr std::uint64_t kAnswerMagic = 0x3e889045565a9;
+constexpr std::uint64_t kOptionReplyMagic = 0x3e889045565a9;
 constexpr std::uint32_t kCommandMagic = 0x25609513;
-constexpr std::uint32_t kSimpleMagic = 0x67446698;
+constexpr std::uint32_t kSimpleReplyMagic = 0x67446698;
 constexpr std::uint32_t kChunkMagic = 0x668e33ef;
 constexpr std::uint16_t kInfoExport = 0, kInfoBlockSizes = 3;
 constexpr std::size_t kExportNamePaddingBytes = 124;  // zeroes after the reply to EXPORT_NAME
@@ -51,7 +51,7 @@
 bool getAll(std::string_view& in, Values&... values) {
     return (get(in, values) && ...);
 }
-bool getText(std::string_view& in, std::size_t size, std::string& out) {
+bool getBytes(std::string_view& in, std::size_t size, std::string& out) {
     if (in.size() < size) return false;
     out = in.substr(0, size);
     in.remove_prefix(size);
@@ -66,13 +66,13 @@
 
 }  // namespace
 
-std::string encode(const Greeting& greeting) { return join(kHello, kOptionMagic, greeting.flags); }
+std::string encode(const Greeting& greeting) { return join(kInitMagic, kOptionMagic, greeting.flags); }
 std::string encodeClientFlags(std::uint32_t flags) { return join(flags); }
 std::string encode(const OptionMessage& message) {
     return join(kOptionMagic, message.option, static_cast<std::uint32_t>(message.data.size())) + message.data;
 }
 std::string encode(const OptionReplyMessage& reply) {
-    return join(kAnswerMagic, reply.option, reply.type, static_cast<std::uint32_t>(reply.data.size())) +
+    return join(kOptionReplyMagic, reply.option, reply.type, static_cast<std::uint32_t>(reply.data.size())) +
            reply.data;
 }
 std::string encode(const InfoRequest& request) {
@@ -95,9 +95,9 @@
 
 DecodeResult decode(std::string_view& in, Greeting& out) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kHello, kOptionMagic))) return DecodeResult::malformed;
-    std::uint64_t hello = 0, magic = 0;
-    if (!getAll(rest, hello, magic, out.flags)) return DecodeResult::needMore;
+    if (!mayBegin(in, join(kInitMagic, kOptionMagic))) return DecodeResult::malformed;
+    std::uint64_t initMagic = 0, magic = 0;
+    if (!getAll(rest, initMagic, magic, out.flags)) return DecodeResult::needMore;
     in = rest;
     return (out.flags & kFixedNewstyle) != 0 ? DecodeResult::complete : DecodeResult::malformed;
 }
@@ -111,18 +111,18 @@
     std::uint32_t size = 0;
     if (!getAll(rest, magic, out.option, size)) return DecodeResult::needMore;
     if (size > maxBytes) return DecodeResult::malformed;
-    if (!getText(rest, size, out.data)) return DecodeResult::needMore;
+    if (!getBytes(rest, size, out.data)) return DecodeResult::needMore;
     in = rest;
     return DecodeResult::complete;
 }
 DecodeResult decode(std::string_view& in, OptionReplyMessage& out, std::size_t maxBytes) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kAnswerMagic))) return DecodeResult::malformed;
+    if (!mayBegin(in, join(kOptionReplyMagic))) return DecodeResult::malformed;
     std::uint64_t magic = 0;
     std::uint32_t size = 0;
     if (!getAll(rest, magic, out.option, out.type, size)) return DecodeResult::needMore;
     if (size > maxBytes) return DecodeResult::malformed;
-    if (!getText(rest, size, out.data)) return DecodeResult::needMore;
+    if (!getBytes(rest, size, out.data)) return DecodeResult::needMore;
     in = rest;
     return DecodeResult::complete;
 }
@@ -130,7 +130,7 @@
     InfoRequest out;
     std::uint32_t size = 0;
     std::uint16_t count = 0;
-    if (!get(data, size) || !getText(data, size, out.name) || !get(data, count) ||
+    if (!get(data, size) || !getBytes(data, size, out.name) || !get(data, count) ||
         data.size() != sizeof(std::uint16_t) * count)
         return std::nullopt;
     out.infoTypes.resize(count);
@@ -149,7 +149,7 @@
                 message.length) +
            message.data;
 }
-std::string encode(const SimpleReply& reply) { return join(kSimpleMagic, reply.error, reply.cookie); }
+std::string encode(const SimpleReply& reply) { return join(kSimpleReplyMagic, reply.error, reply.cookie); }
 std::string encode(const ChunkMessage& chunk) {
     return join(kChunkMagic, chunk.flags, chunk.type, chunk.cookie,
                 static_cast<std::uint32_t>(chunk.payload.size())) +
@@ -169,13 +169,13 @@
         return DecodeResult::needMore;
     out.data.clear();
     const bool hasData = out.command == Command::write && out.length <= maxBytes;
-    if (hasData && !getText(rest, out.length, out.data)) return DecodeResult::needMore;
+    if (hasData && !getBytes(rest, out.length, out.data)) return DecodeResult::needMore;
     in = rest;
     return DecodeResult::complete;
 }
 DecodeResult decode(std::string_view& in, SimpleReply& out) {
     std::string_view rest = in;
-    if (!mayBegin(in, join(kSimpleMagic))) return DecodeResult::malformed;
+    if (!mayBegin(in, join(kSimpleReplyMagic))) return DecodeResult::malformed;
     std::uint32_t magic = 0;
     if (!getAll(rest, magic, out.error, out.cookie)) return DecodeResult::needMore;
     in = rest;
@@ -187,14 +187,14 @@
     std::uint32_t magic = 0, size = 0;
     if (!getAll(rest, magic, out.flags, out.type, out.cookie, size)) return DecodeResult::needMore;
     if (size > maxBytes) return DecodeResult::malformed;
-    if (!getText(rest, size, out.payload)) return DecodeResult::needMore;
+    if (!getBytes(rest, size, out.payload)) return DecodeResult::needMore;
     in = rest;
     return DecodeResult::complete;
 }
 std::optional<ErrorChunk> decodeError(std::string_view payload) {
     ErrorChunk out;
     std::uint16_t size = 0;
-    if (!getAll(payload, out.error, size) || !getText(payload, size, out.text) || out.error == Error::none)
+    if (!getAll(payload, out.error, size) || !getBytes(payload, size, out.text) || out.error == Error::none)
         return std::nullopt;
     return out;
 }
--- a/src/nbd/front.cpp
+++ b/src/nbd/front.cpp
@@ -447,8 +447,8 @@
     }
     self->dispatcher_.counters().add("nbd_client_connection");
     auto session = std::make_unique<Session>(*self, fd);
-    Session* key = session.get();
-    self->sessions_.emplace(key, std::move(session));
+    Session* sessionPtr = session.get();
+    self->sessions_.emplace(sessionPtr, std::move(session));
 }
 
 void Front::startShutdown() {
