--- a/src/nbd/node_connection.h
+++ b/src/nbd/node_connection.h
@@ -1,4 +1,4 @@
-// Commands to storage nodes that speak NBD.
+// Sends read and write commands to storage nodes over NBD.
 #pragma once
 
 #include <optional>
@@ -14,24 +14,24 @@
     bool isWrite = false;
     std::uint64_t offset = 0;
     std::uint32_t length = 0;
-    std::string data;  ///< of a write
+    std::string data;  ///< the payload of a write
 };
 
-/// A connection to a node's export: its handshake, then one command at a time.
+/// A connection to an export of a node. Performs the handshake, then sends one command at a time.
 class NbdNodeConnection final : public NodeConnection {
 public:
     using Work = nbd::NodeCommand;
     static constexpr const char* kOpenedCounter = "nbd_node_connection_opened";
-    static constexpr bool kCanPreconnect = false;  // its handshake is part of the first one's
+    static constexpr bool kCanPreconnect = false;  // the handshake names the export of the first command
 
-    NbdNodeConnection(event_base* base, const Address& node, const Work& work, const Limits& limits,
+    NbdNodeConnection(event_base* base, const Address& node, const Work& command, const Limits& limits,
                       Counters& counters)
-        : NodeConnection(base, node, limits, counters), exportName_(work.exportName) {}
+        : NodeConnection(base, node, limits, counters), exportName_(command.exportName) {}
 
-    [[nodiscard]] bool matches(const Address& to, const Work& work) const {
-        return address() == to && exportName_ == work.exportName;
+    [[nodiscard]] bool matches(const Address& to, const Work& command) const {
+        return address() == to && exportName_ == command.exportName;
     }
-    void start(const Work& work, const AttemptTimeouts& times, DoneCallback over);
+    void start(const Work& command, const AttemptTimeouts& timeouts, DoneCallback done);
 
 private:
     enum class State { greeting, structuredReply, go, ready };
@@ -44,7 +44,7 @@
     DecodeResult handleSimpleReply(std::string_view& in);
     DecodeResult handleReplyChunk(std::string_view& in);
     void sendCommand();
-    void finishCommand(AttemptStatus ending);
+    void finishCommand(AttemptStatus status);
     AttemptStatus attemptStatus(Error error) const;
 
     std::string exportName_;
