--- a/src/limedrum/admission.cpp
+++ b/src/limedrum/admission.cpp
@@ -75,7 +75,7 @@
 }
 
 bool Scheduler::Impl::isBlockedAsSilent(const Node& node) const {
-    return node.silentSinceMs > 0 && now_ - node.lastTrickleMs < kSilentNodeAttemptIntervalMs;
+    return node.silentSinceMs > 0 && now_ - node.lastTrialAttemptMs < kSilentNodeAttemptIntervalMs;
 }
 
 void Scheduler::Impl::recordDemand(const Request& request) {
--- a/src/limedrum/attempts.cpp
+++ b/src/limedrum/attempts.cpp
@@ -86,7 +86,7 @@
         Request& request = requests_.at(it->second);
         ++it;
         if (node->silentSinceMs > 0) {
-            if (now_ - node->lastTrickleMs < kSilentNodeAttemptIntervalMs ||
+            if (now_ - node->lastTrialAttemptMs < kSilentNodeAttemptIntervalMs ||
                 node->attemptsInFlight >= kMaxInFlightPerNode)
                 return;
         } else if (node->attemptsInFlight >= kMaxInFlightPerNode ||
@@ -98,7 +98,7 @@
             return;
         }
         if (!maySend(request, *node)) continue;
-        if (node->silentSinceMs > 0) node->lastTrickleMs = now_;
+        if (node->silentSinceMs > 0) node->lastTrialAttemptMs = now_;
         send(request, *node);
     }
 }
--- a/src/limedrum/failure_detection.cpp
+++ b/src/limedrum/failure_detection.cpp
@@ -8,7 +8,7 @@
         now_ - node.lastHeardMs < kSilentAfterAims * tightestAimMs_)
         return;
     node.silentSinceMs = std::max(node.lastHeardMs, 1.0);
-    node.lastTrickleMs = now_;
+    node.lastTrialAttemptMs = now_;
     log("node " + std::to_string(node.id) + " answers nothing");
     if (node.weight <= 0) return;
     // Other holders of the shard may answer the attempts in flight.
--- a/src/limedrum/learned_state.cpp
+++ b/src/limedrum/learned_state.cpp
@@ -20,7 +20,7 @@
 constexpr std::array kNodeFigures{&Node::usualMsPerUnit, &Node::smoothedDelayMs, &Node::unitsPerSecond};
 constexpr std::array kNodeTimes{&Node::lastOverloadSignMs,      &Node::localOverloadUntilMs,
                                 &Node::reportedOverloadUntilMs, &Node::lastSaturatedMs,
-                                &Node::silentSinceMs,           &Node::lastTrickleMs};
+                                &Node::silentSinceMs,           &Node::lastTrialAttemptMs};
 constexpr std::array kBidFigures{&Bid::offeredUnits, &Bid::reservedUnits, &Bid::weightedUnits,
                                  &Bid::servedUnits,  &Bid::overloadUnits, &Bid::bidderCount};
 constexpr std::array kVolumeFigures{&Volume::servedViaThisHost, &Volume::servedViaOtherHosts,
--- a/src/limedrum/state.h
+++ b/src/limedrum/state.h
@@ -180,7 +180,7 @@
     double reportedOverloadUntilMs = 0;                                 // overload inferred from the bid sums
     double lastSaturatedMs = -std::numeric_limits<double>::infinity();  // last bid sum that showed saturation
     double silentSinceMs = 0;                                           // 0: the node answers
-    double lastTrickleMs = 0;       // last attempt sent to check whether the silent node answers again
+    double lastTrialAttemptMs = 0;  // last attempt sent to check whether the silent node answers again
     double suspectedRestartMs = 0;  // answered then after a long silence, perhaps cold; 0: no suspicion
 
     /// Removes an attempt from those in flight, because it ended or is presumed lost.
--- a/tests/limedrum/decide_test.cpp
+++ b/tests/limedrum/decide_test.cpp
@@ -13,11 +13,11 @@
 // like client retries whose aim has passed, and were thinned first.
 TEST_CASE("a deadline beyond the class's limit does not mark other requests as late") {
     Driver d(plainSettings());
-    d.give(0, request("hostile", 3'600'000, 1));
-    d.give(10, request("normal", 1010, 1));
-    d.pass(2100, 10);
+    d.handle(0, request("hostile", 3'600'000, 1));
+    d.handle(10, request("normal", 1010, 1));
+    d.advanceTo(2100, 10);
     bool bidSent = false;
-    for (const Action& action : d.all) {
+    for (const Action& action : d.allActions) {
         const auto* message = std::get_if<SendPeerMessage>(&action);
         if (message == nullptr) continue;
         bidSent = true;
@@ -25,7 +25,7 @@
         CHECK_MESSAGE(message->text.find(":40:") != std::string::npos, message->text);
     }
     CHECK(bidSent);
-    CHECK(d.answers("hostile") == 1);  // it does not stay queued for an hour
+    CHECK(d.answerCount("hostile") == 1);  // it does not stay queued for an hour
 }
 
 // Guards against a client that states more hosts than there are. That shrank this host's part of the volume's
@@ -38,9 +38,9 @@
     Driver d(s);
     RequestEvent hostile = request("hostile", 2000, 0);
     hostile.hostsOfVolume = 1'000'000'000;
-    d.pass(1500);
-    d.give(1500, hostile);
-    CHECK(d.sends("hostile") == 1);
+    d.advanceTo(1500);
+    d.handle(1500, hostile);
+    CHECK(d.sendCount("hostile") == 1);
 }
 
 // Guards against a retry-after longer than the aim, which made every retry late by its wait alone.
@@ -50,7 +50,7 @@
     Driver d(s);
     saturate(d, 0, 8000);
     int refusals = 0;
-    for (const Action& action : d.all) {
+    for (const Action& action : d.allActions) {
         const auto* refuse = std::get_if<RefuseRequest>(&action);
         if (refuse == nullptr) continue;
         ++refusals;
@@ -62,10 +62,10 @@
     for (int i = 0; i < 3; ++i) {
         RequestEvent event = request("s" + std::to_string(i), 1000, 0);
         event.units = 1;
-        silent.give(i, event);
+        silent.handle(i, event);
     }
-    silent.pass(990);
-    const auto actions = silent.give(991, request("later", 1991, 0));
+    silent.advanceTo(990);
+    const auto actions = silent.handle(991, request("later", 1991, 0));
     REQUIRE(Driver::count<RefuseRequest>(actions, "later") == 1);
     CHECK(std::get<RefuseRequest>(actions.front()).retryAfterMs == 1000);
 }
@@ -91,15 +91,15 @@
     s.rules.fallMs = 1000;
     s.coldUnits = 1;  // less than one request
     Driver d(s);
-    d.give(0, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 1}}});
+    d.handle(0, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 1}}});
     RequestEvent late = request("late", 400, 0);  // a client's retry, due at its expiry
-    d.give(0, request("first", 1000, 0));
-    d.give(1, late);
-    d.pass(200);
-    CHECK(d.answers("late") == 1);
-    d.pass(500);
-    CHECK(d.answers("first") == 1);
-    CHECK(d.sends() == 0);
+    d.handle(0, request("first", 1000, 0));
+    d.handle(1, late);
+    d.advanceTo(200);
+    CHECK(d.answerCount("late") == 1);
+    d.advanceTo(500);
+    CHECK(d.answerCount("first") == 1);
+    CHECK(d.sendCount() == 0);
 }
 
 // Guards against memory that grows as nodes are replaced by new ones with new ids.
--- a/tests/limedrum/driver.h
+++ b/tests/limedrum/driver.h
@@ -42,28 +42,28 @@
         : scheduler_(settings, seed, startMs), nowMs(startMs) {
         NodeListEvent list{NodeListKind::restored, {}};
         for (int i = 0; i < nodes; ++i) list.entries.push_back({.node = NodeId(100 + i), .shard = i});
-        give(startMs, list);
+        handle(startMs, list);
     }
     /// Passes one event to the scheduler and returns the resulting actions.
-    std::vector<Action> give(double atMs, const Event& event) { return step(atMs, {event}); }
-    std::vector<Action> step(double atMs, const std::vector<Event>& events) {
+    std::vector<Action> handle(double atMs, const Event& event) { return handleAll(atMs, {event}); }
+    std::vector<Action> handleAll(double atMs, const std::vector<Event>& events) {
         nowMs = atMs;
-        last = scheduler_.handle(atMs, events);
-        all.insert(all.end(), last.begin(), last.end());
-        return last;
+        lastActions = scheduler_.handle(atMs, events);
+        allActions.insert(allActions.end(), lastActions.begin(), lastActions.end());
+        return lastActions;
     }
     /// Advances the time in small steps with a timer event at each.
-    void pass(double untilMs, double stepMs = 2) {
-        while (nowMs < untilMs) give(std::min(untilMs, nowMs + stepMs), TimerFiredEvent{1});
+    void advanceTo(double untilMs, double stepMs = 2) {
+        while (nowMs < untilMs) handle(std::min(untilMs, nowMs + stepMs), TimerFiredEvent{1});
     }
     std::vector<Action> outcome(double atMs, const RequestId& id, int attempt, NodeId node, Outcome outcome,
                                 double durationMs = 10) {
-        return give(atMs, OutcomeEvent{.id = id,
-                                       .attempt = attempt,
-                                       .node = node,
-                                       .outcome = outcome,
-                                       .durationMs = durationMs,
-                                       .requestFinished = outcome == Outcome::done});
+        return handle(atMs, OutcomeEvent{.id = id,
+                                         .attempt = attempt,
+                                         .node = node,
+                                         .outcome = outcome,
+                                         .durationMs = durationMs,
+                                         .requestFinished = outcome == Outcome::done});
     }
     /// Counts the actions of one type, for one request or all.
     template <typename ActionType>
@@ -79,13 +79,13 @@
         }
         return matches;
     }
-    int sends(const RequestId& id = "") const { return count<SendAttempt>(all, id); }
+    int sendCount(const RequestId& id = "") const { return count<SendAttempt>(allActions, id); }
     /// Counts the refusals and failures.
-    int answers(const RequestId& id = "") const {
-        return count<RefuseRequest>(all, id) + count<FailRequest>(all, id);
+    int answerCount(const RequestId& id = "") const {
+        return count<RefuseRequest>(allActions, id) + count<FailRequest>(allActions, id);
     }
-    std::string handOver() { return scheduler_.exportState(nowMs); }
-    bool takeOver(const std::string& text) { return scheduler_.importState(nowMs, text); }
+    std::string exportState() { return scheduler_.exportState(nowMs); }
+    bool importState(const std::string& text) { return scheduler_.importState(nowMs, text); }
     std::size_t tableSize() const { return scheduler_.tableSize(); }
 
 private:
@@ -93,8 +93,8 @@
 
 public:
     double nowMs;
-    std::vector<Action> last;
-    std::vector<Action> all;
+    std::vector<Action> lastActions;
+    std::vector<Action> allActions;
 };
 
 /// Overloads the node of shard 0 by slow answers, so that the scheduler learns its rate. With two classes,
@@ -106,7 +106,7 @@
     for (double timeMs = fromMs; timeMs < untilMs; timeMs += intervalMs, ++i) {
         RequestEvent event = request(std::to_string(timeMs), timeMs + 1000, 0);
         event.classNo = i % classes;
-        for (const Action& action : driver.give(timeMs, event)) {
+        for (const Action& action : driver.handle(timeMs, event)) {
             const auto* send = std::get_if<SendAttempt>(&action);
             if (send == nullptr) continue;
             ++sent[event.classNo];
--- a/tests/limedrum/fleet_test.cpp
+++ b/tests/limedrum/fleet_test.cpp
@@ -242,18 +242,18 @@
 TEST(SharedBudgets, GrantsOfOtherHostsAndImplausibleMessagesAreIgnored) {
     Settings s = coldNodeSettings(60);
     Driver driver(s, 1, 10000, 1);
-    driver.give(10000, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 9000}}});
-    driver.pass(12000, 10);
-    const int messagesBefore = Driver::count<SendPeerMessage>(driver.all);
+    driver.handle(10000, NodeListEvent{NodeListKind::update, {{.node = 100, .shard = 0, .bootMs = 9000}}});
+    driver.advanceTo(12000, 10);
+    const int messagesBefore = Driver::count<SendPeerMessage>(driver.allActions);
     for (int sender = 1; sender < 60; ++sender) {
         for (const std::string text : {"a3 n 100 0 9000 99999999999 12000", "a3 n 999 0 9000 10 12000",
                                        "a3 v 100 0 77 10 12000", "a3 n 100 9 9000 10 12000", "a3 x 1 0 1 1 1",
                                        "g3 n 100 0 9000 10 99000", "a3 n 100 0 99000 10 12000"})
-            driver.give(12000, PeerMessageEvent{sender, text});
+            driver.handle(12000, PeerMessageEvent{sender, text});
     }
-    EXPECT_EQ(Driver::count<SendPeerMessage>(driver.all), messagesBefore);
-    driver.give(12001, request("a", 13001, 0));
-    EXPECT_EQ(driver.sends("a"), 0);
+    EXPECT_EQ(Driver::count<SendPeerMessage>(driver.allActions), messagesBefore);
+    driver.handle(12001, request("a", 13001, 0));
+    EXPECT_EQ(driver.sendCount("a"), 0);
 }
 
 // ---- One host among hundreds ----
@@ -269,23 +269,23 @@
     std::size_t maxTableSize = 0;
     int requests = 0;
     for (int round = 1; round <= 10; ++round) {
-        driver.all.clear();
+        driver.allActions.clear();
         for (int i = 0; i < 10; ++i) {
             const double nowMs = round * 2000.0 + 100 + 150 * i;
             const RequestId id = "r" + std::to_string(++requests);
-            driver.give(nowMs, request(id, nowMs + 1000, requests % kCells));
+            driver.handle(nowMs, request(id, nowMs + 1000, requests % kCells));
             driver.outcome(nowMs + 20, id, 0, NodeId(100 + requests % kCells), Outcome::done, 20);
         }
-        driver.pass(round * 2000.0 + 2001, 10);
+        driver.advanceTo(round * 2000.0 + 2001, 10);
         for (int peer = 0; peer < kHosts; ++peer) {  // all bid for all cells, whoever the auctioneer is
             std::string text = "b3 " + std::to_string(round + 1);
             for (int cell = 0; cell < 10; ++cell)
                 text += ' ' + std::to_string((peer + cell) % kCells) + ":20:0:20:20:0:10";
-            driver.give(round * 2000.0 + 2002, PeerMessageEvent{peer, text});
+            driver.handle(round * 2000.0 + 2002, PeerMessageEvent{peer, text});
         }
-        driver.pass(round * 2000.0 + 2080, 10);
-        maxActions = std::max(maxActions, driver.all.size());
-        for (const Action& a : driver.all) {
+        driver.advanceTo(round * 2000.0 + 2080, 10);
+        maxActions = std::max(maxActions, driver.allActions.size());
+        for (const Action& a : driver.allActions) {
             if (const auto* message = std::get_if<SendPeerMessage>(&a)) messageBytes += message->text.size();
         }
         maxTableSize = std::max(maxTableSize, driver.tableSize());
@@ -305,17 +305,17 @@
             if (i % 400 == 4) {
                 const std::string sum = "s3 " + std::to_string(i / 400) +
                                         " 0:9000:0:900000:400:400:" + std::to_string(10 * bidders);
-                for (int peer = 1; peer < 400; ++peer) driver.give(nowMs, PeerMessageEvent{peer, sum});
+                for (int peer = 1; peer < 400; ++peer) driver.handle(nowMs, PeerMessageEvent{peer, sum});
             }
             const RequestId id = "r" + std::to_string(i);
-            const auto actions = driver.give(nowMs + 1, request(id, nowMs + 1001, 0));
+            const auto actions = driver.handle(nowMs + 1, request(id, nowMs + 1001, 0));
             for (const Action& a : actions) {
                 if (const auto* send = std::get_if<SendAttempt>(&a)) {
                     sends += nowMs > 10000;
                     driver.outcome(nowMs + 1, send->id, 0, 100, Outcome::done, i % 4 == 0 ? 10 : 700);
                 }
             }
-            driver.all.clear();
+            driver.allActions.clear();
         }
         return sends;
     };
@@ -328,11 +328,11 @@
 TEST(LargeFleet, UnansweredWorkIsBidAsOverloadAndASaturatedNodesSumGoesToAllHosts) {
     constexpr int kHosts = 50;
     Driver driver(fleetSettings(kHosts), 1, 0, 1);
-    driver.give(900, request("a", 8900, 0));
-    ASSERT_EQ(driver.sends("a"), 1);
-    driver.pass(2001, 10);
+    driver.handle(900, request("a", 8900, 0));
+    ASSERT_EQ(driver.sendCount("a"), 1);
+    driver.advanceTo(2001, 10);
     bool overloadBid = false;
-    for (const Action& a : driver.all) {
+    for (const Action& a : driver.allActions) {
         const auto* message = std::get_if<SendPeerMessage>(&a);
         overloadBid = overloadBid || (message != nullptr &&
                                       message->text.ends_with(":0:20:10"));  // served, overload, bidders
@@ -340,14 +340,14 @@
     EXPECT_TRUE(overloadBid);
     const auto sumsSentFor = [&](int overloadTenths) {  // in a round in which this host is the auctioneer
         for (int round = 2; round < 2000; ++round) {
-            driver.pass(2000.0 * round + 1, 50);
-            driver.all.clear();
+            driver.advanceTo(2000.0 * round + 1, 50);
+            driver.allActions.clear();
             const std::string bid =
                 "b3 " + std::to_string(round) + " 0:200:0:200:30:" + std::to_string(overloadTenths);
             for (int peer = 1; peer < 4; ++peer)
-                driver.give(2000.0 * round + 5, PeerMessageEvent{peer, bid + ":10"});
-            driver.pass(2000.0 * round + 90, 5);
-            if (const int sums = Driver::count<SendPeerMessage>(driver.all); sums > 2) return sums;
+                driver.handle(2000.0 * round + 5, PeerMessageEvent{peer, bid + ":10"});
+            driver.advanceTo(2000.0 * round + 90, 5);
+            if (const int sums = Driver::count<SendPeerMessage>(driver.allActions); sums > 2) return sums;
         }
         return 0;
     };
@@ -362,7 +362,7 @@
     for (int i = 0; i < count; ++i) {
         const RequestId id = "n" + std::to_string(i);
         const double nowMs = fromMs + everyMs * i;
-        for (const Action& a : driver.give(nowMs, request(id, nowMs + 900, -1))) {
+        for (const Action& a : driver.handle(nowMs, request(id, nowMs + 900, -1))) {
             const auto* send = std::get_if<SendAttempt>(&a);
             if (send == nullptr || send->id != id) continue;
             below += send->node < node;
@@ -378,11 +378,11 @@
     Driver driver(fleetSettings(50), 1, 0, 2);
     for (int i = 0; i < 20; ++i) {  // teaches the speed of both: the first is ten times as fast
         const RequestId id = "w" + std::to_string(i);
-        driver.give(100 + 20 * i, request(id, 1100 + 20 * i, i % 2));
+        driver.handle(100 + 20 * i, request(id, 1100 + 20 * i, i % 2));
         driver.outcome(110 + 20 * i, id, 0, NodeId(100 + i % 2), Outcome::done, i % 2 == 0 ? 2 : 20);
     }
-    driver.give(1000, request("late", 9000, 0));
-    driver.pass(1900, 10);
+    driver.handle(1000, request("late", 9000, 0));
+    driver.advanceTo(1900, 10);
     EXPECT_EQ(newObjectsBelow(driver, 101, 1900, 10, 5, 2), 0);
 }
 
@@ -395,10 +395,10 @@
             for (int i = 0; i < 30; ++i) {
                 const RequestId id = "r" + std::to_string(i);
                 const double nowMs = 20100 + 20 * i;
-                driver.give(nowMs, request(id, nowMs + 900, i % 3));
+                driver.handle(nowMs, request(id, nowMs + 900, i % 3));
                 driver.outcome(nowMs + 10, id, 0, NodeId(100 + i % 3), Outcome::done, 10);
             }
-            driver.pass(20700 + idleMs, 50);
+            driver.advanceTo(20700 + idleMs, 50);
             return newObjectsBelow(driver, 103, 20700 + idleMs, 40, 20, 10);
         };
     EXPECT_EQ(placedOnKnownNodes(0), 40);
@@ -415,12 +415,12 @@
             if (std::fmod(nowMs, 2000) == 20) {
                 const std::string sums = "s3 " + std::to_string(std::lround(nowMs) / 2000) +
                                          " 0:9000:0:900000:400:" + std::to_string(overloadTenths) + ":400";
-                for (int peer = 1; peer < 50; ++peer) driver.give(nowMs, PeerMessageEvent{peer, sums});
+                for (int peer = 1; peer < 50; ++peer) driver.handle(nowMs, PeerMessageEvent{peer, sums});
             }
             if (nowMs < nextRequestMs) continue;
             nextRequestMs += everyMs;
             const RequestId id = "r" + std::to_string(++offered);
-            if (Driver::count<SendAttempt>(driver.give(nowMs, request(id, nowMs + 1000, 0)), id) == 0)
+            if (Driver::count<SendAttempt>(driver.handle(nowMs, request(id, nowMs + 1000, 0)), id) == 0)
                 continue;
             ++sends;
             driver.outcome(nowMs + 5, id, 0, 100, Outcome::done, 5);
--- a/tests/limedrum/learned_state_test.cpp
+++ b/tests/limedrum/learned_state_test.cpp
@@ -10,16 +10,16 @@
 
 /// Sends requests for cell 0 and returns how many were refused at once.
 int refusedAtOnce(Driver& driver, int requests) {
-    const int answersBefore = driver.answers();
+    const int answersBefore = driver.answerCount();
     for (int i = 0; i < requests; ++i)
-        driver.give(driver.nowMs + 1, request("x" + std::to_string(i), driver.nowMs + 1000));
-    return driver.answers() - answersBefore;
+        driver.handle(driver.nowMs + 1, request("x" + std::to_string(i), driver.nowMs + 1000));
+    return driver.answerCount() - answersBefore;
 }
 
 struct OverloadedInstance {
     OverloadedInstance() : old(plainSettings()) {
         saturate(old, 0, 9000);
-        text = old.handOver();
+        text = old.exportState();
     }
     Driver old;
     std::string text;
@@ -46,7 +46,7 @@
     for (int i = 0; i < requests; ++i) {
         RequestEvent r = request(name + std::to_string(i), driver.nowMs + 400);
         r.volume = name.starts_with('w') ? "w" : "v";
-        for (const Action& a : driver.give(driver.nowMs, r)) {
+        for (const Action& a : driver.handle(driver.nowMs, r)) {
             if (const auto* send = std::get_if<SendAttempt>(&a)) {
                 units += r.units;
                 driver.outcome(driver.nowMs, send->id, 0, send->node, Outcome::done, 1);
@@ -63,7 +63,7 @@
 TEST_CASE("learned state: the next instance thins an overloaded node's requests from the first one on") {
     OverloadedInstance previous;
     Driver fresh(plainSettings(), 2, previous.old.nowMs), next(plainSettings(), 2, previous.old.nowMs);
-    REQUIRE(next.takeOver(previous.text));
+    REQUIRE(next.importState(previous.text));
     const int refusedByOld = refusedAtOnce(previous.old, 100);
     CHECK(refusedByOld > 30);
     CHECK(refusedAtOnce(next, 100) > refusedByOld / 2);
@@ -72,32 +72,32 @@
 
 TEST_CASE("learned state: a silent node remains silent, and a restarted one is not taken for it") {
     Driver old(plainSettings(), 1, 10'000);
-    old.give(10'000, request("0", 11'000));
+    old.handle(10'000, request("0", 11'000));
     old.outcome(10'001, "0", 0, 100, Outcome::connectFailed);
-    old.pass(11'500, 10);
-    const std::string text = old.handOver();
+    old.advanceTo(11'500, 10);
+    const std::string text = old.exportState();
     Driver next(plainSettings(), 2, 11'500);
-    REQUIRE(next.takeOver(text));
-    next.give(11'500, request("a", 12'500));
-    next.give(11'501, request("b", 12'501));
-    CHECK(next.sends() <= 1);  // one attempt checks whether the node answers again
-    CHECK(next.answers() >= 1);
+    REQUIRE(next.importState(text));
+    next.handle(11'500, request("a", 12'500));
+    next.handle(11'501, request("b", 12'501));
+    CHECK(next.sendCount() <= 1);  // one attempt checks whether the node answers again
+    CHECK(next.answerCount() >= 1);
 
     Driver other(plainSettings(), 2, 11'500);
-    other.give(11'500, NodeListEvent{NodeListKind::full, {{.node = 100, .shard = 0, .bootMs = 11'400}}});
-    REQUIRE(other.takeOver(text));
-    CHECK(other.handOver().find("\nnode 100 ") == std::string::npos);  // nothing was imported for it
+    other.handle(11'500, NodeListEvent{NodeListKind::full, {{.node = 100, .shard = 0, .bootMs = 11'400}}});
+    REQUIRE(other.importState(text));
+    CHECK(other.exportState().find("\nnode 100 ") == std::string::npos);  // nothing was imported for it
 }
 
 // A limit applies to both instances together.
 TEST_CASE("learned state: levels of limits move as a whole, and both instances have no more than one") {
     Driver old(settingsWithLimit()), next(settingsWithLimit(), 2, 21'500);
-    old.pass(20'000, 50);
+    old.advanceTo(20'000, 50);
     const double firstUnits = unitsSent(old, "first");
     CHECK(firstUnits > 30);  // of 40: the buckets were full
-    old.pass(21'500, 50);
+    old.advanceTo(21'500, 50);
     const double expectedLevel = 40 - firstUnits + 20 * 1.5 - unitsSent(old, "one", 1);
-    REQUIRE(next.takeOver(old.handOver()));
+    REQUIRE(next.importState(old.exportState()));
     const double nextUnits = unitsSent(next, "next");
     CHECK(nextUnits > 0.8 * expectedLevel);
     CHECK(nextUnits <= expectedLevel);
@@ -115,20 +115,20 @@
     Driver old(more);
     RequestEvent r = request("a", 1000);
     r.planNo = 19'999;
-    old.give(0, r);
+    old.handle(0, r);
     Driver next(plainSettings(), 2, 10);
-    REQUIRE(next.takeOver(old.handOver()));
-    CHECK(next.handOver().find("\nvolume v ") == std::string::npos);
-    next.pass(4100, 50);  // the ends of two rounds use the volumes
+    REQUIRE(next.importState(old.exportState()));
+    CHECK(next.exportState().find("\nvolume v ") == std::string::npos);
+    next.advanceTo(4100, 50);  // the ends of two rounds use the volumes
 }
 
 TEST_CASE("learned state: a text that is truncated, corrupt, outdated or implausible changes nothing") {
     OverloadedInstance previous;
     const auto accepted = [&](const std::string& text) {
         Driver next(plainSettings(), 2, previous.old.nowMs);
-        const std::string stateBefore = next.handOver();
-        const bool imported = next.takeOver(text);
-        CHECK((imported || next.handOver() == stateBefore));
+        const std::string stateBefore = next.exportState();
+        const bool imported = next.importState(text);
+        CHECK((imported || next.exportState() == stateBefore));
         return imported;
     };
     CHECK(accepted(previous.text));
@@ -149,11 +149,11 @@
         std::string text = previous.text;
         text[i] = static_cast<char>(text[i] ^ 0x15);
         Driver next(plainSettings(), 2, previous.old.nowMs);
-        (void)next.takeOver(text);
-        next.pass(next.nowMs + 2500, 50);
+        (void)next.importState(text);
+        next.advanceTo(next.nowMs + 2500, 50);
     }
     Driver late(plainSettings(), 2, previous.old.nowMs + 5100);
-    CHECK_FALSE(late.takeOver(previous.text));
+    CHECK_FALSE(late.importState(previous.text));
     Driver early(plainSettings(), 2, previous.old.nowMs - 5100);
-    CHECK_FALSE(early.takeOver(previous.text));
+    CHECK_FALSE(early.importState(previous.text));
 }
