--- a/src/limedrum/admission.cpp
+++ b/src/limedrum/admission.cpp
@@ -61,15 +61,15 @@
     Demand& demand = cell.volumes[event.volume];
     request.worthPerUnit = classSettings.worth * planOf(volume.planNo).worthFactor *
                            (request.lateClientRetry ? classSettings.lateWorth : 1);
-    if (node != nullptr && isBlockedAsSilent(*node)) return refuseOrFail(event.id, silentNode);
-    if (thinned) return refuseOrFail(event.id, thinnedOut);
+    if (node != nullptr && isBlockedAsSilent(*node)) return refuseOrFail(event.id, nodeUnreachable);
+    if (thinned) return refuseOrFail(event.id, refusedAtAdmission);
     if (node != nullptr && demand.fairUnitsPerSecond > 0) {
         const double askedRate = expectedRate(demand.offeredThisRound, demand.offeredLastRound);
         if (askedRate > demand.fairUnitsPerSecond)
             request.worthPerUnit *= settings_.withinShare * demand.fairUnitsPerSecond / askedRate +
                                     settings_.spareWorth * (1 - demand.fairUnitsPerSecond / askedRate);
     }
-    cell.tokensSpent += request.spec.units;
+    cell.admittedUnitsThisRound += request.spec.units;
     fleet_.enqueue(request);
     sendQueued(request.cell);
 }
--- a/src/limedrum/attempts.cpp
+++ b/src/limedrum/attempts.cpp
@@ -3,16 +3,17 @@
 
 namespace limedrum {
 
-bool Scheduler::Impl::mayRepeat(const Request& request, double mayHaveRunSinceMs) const {
+bool Scheduler::Impl::mayRepeat(const Request& request, double earliestPossibleRunMs) const {
     return request.attemptsStarted == 0 || (request.attemptsStarted < request.maxAttempts &&
-                                            now_ < repeatDeadlineMs(request, mayHaveRunSinceMs));
+                                            now_ < repeatDeadlineMs(request, earliestPossibleRunMs));
 }
 
-double Scheduler::Impl::repeatDeadlineMs(const Request& request, double mayHaveRunSinceMs) const {
+double Scheduler::Impl::repeatDeadlineMs(const Request& request, double earliestPossibleRunMs) const {
     const ClassSettings& classSettings = classOf(request);
-    if (mayHaveRunSinceMs == kNever || classSettings.idempotency == Idempotency::idempotent) return kNever;
+    if (earliestPossibleRunMs == kNever || classSettings.idempotency == Idempotency::idempotent)
+        return kNever;
     return classSettings.idempotency == Idempotency::deduplicated
-               ? mayHaveRunSinceMs + classSettings.repeatWindowMs - 2 * settings_.tickMs
+               ? earliestPossibleRunMs + classSettings.repeatWindowMs - 2 * settings_.tickMs
                : -kNever;
 }
 
@@ -37,7 +38,7 @@
          !keyQueues_.mayStart(request.spec.key, request.spec.id, request.attemptsStarted == 0, now_)))
         return false;
     if (request.attemptsStarted > 0 &&
-        (!mayRepeat(request, request.mayHaveRunSinceMs) || !retryBudgetAllows()))
+        (!mayRepeat(request, request.earliestPossibleRunMs) || !retryBudgetAllows()))
         return false;
     const bool limitCovered =
         request.limitCharged ||
@@ -62,7 +63,7 @@
     attempts_[{request.spec.id, request.attemptsStarted}] = {
         node.id, request.cell, now_, request.spec.units, false, orderingKey, request.spec.volume};
     if (!orderingKey.empty()) keyQueues_.attemptSent(orderingKey, request.spec.id);
-    if (node.attemptsInFlight == 0) node.lastHeardMs = now_;
+    if (node.attemptsInFlight == 0) node.silenceCountsFromMs = now_;
     ++node.attemptsInFlight;
     ++node.sendsSinceAnswer;
     attemptChecks_.emplace(now_ + lossTimeoutMs(node, request.spec.units),
@@ -72,7 +73,7 @@
     ++request.attemptsStarted;
     ++request.attemptsInFlight;
     const double startByMs =
-        std::min(repeatDeadlineMs(request, request.mayHaveRunSinceMs), shutdown_.furtherAttemptUntilMs);
+        std::min(repeatDeadlineMs(request, request.earliestPossibleRunMs), shutdown_.furtherAttemptUntilMs);
     actions_.push_back(
         SendAttempt{request.spec.id, node.id, request.spec.expiresMs - now_, startByMs - now_});
 }
@@ -117,14 +118,14 @@
         // Requests of a holder that is silent, or cold without budget left, go to other holders.
         const bool preferOthers =
             silent || (request.blockingBudget && request.blockingBudget->first == 'n' &&
-                       (request.deniedByAllCoordinators ||
+                       (request.noGrantObtained ||
                         now_ - request.arrivalMs > kColdBudgetWaitAimFraction * tightestAimMs_));
         if (const CellId targetCell = preferOthers ? route(request, &node, !silent) : request.cell;
             targetCell != request.cell) {
             moved.emplace_back(id, targetCell);
             continue;
         }
-        if (request.blockingBudget && (request.deniedByAllCoordinators || now_ >= dueMs)) {
+        if (request.blockingBudget && (request.noGrantObtained || now_ >= dueMs)) {
             dropped.emplace_back(id, request.blockingBudget->first == 'v' ? overLimit : coldNode);
             continue;
         }
@@ -138,7 +139,7 @@
         const Request& leastWorth = requests_.at(leastWorthId);
         unitsAhead -= leastWorth.spec.units;
         keptByWorth.erase({leastWorth.worthPerUnit, leastWorthId});
-        dropped.emplace_back(leastWorthId, silent ? silentNode : tooLate);
+        dropped.emplace_back(leastWorthId, silent ? nodeUnreachable : shedForOverload);
     }
     for (const auto& [id, targetCell] : moved) fleet_.moveToCell(requests_.at(id), targetCell);
     for (const auto& [id, cause] : dropped) refuseOrFail(id, cause);
--- a/src/limedrum/failure_detection.cpp
+++ b/src/limedrum/failure_detection.cpp
@@ -5,9 +5,9 @@
 
 void Scheduler::Impl::detectSilence(Node& node) {
     if (node.silentSinceMs > 0 || node.attemptsInFlight == 0 || node.sendsSinceAnswer < kMinSendsForSilence ||
-        now_ - node.lastHeardMs < kSilentAfterAims * tightestAimMs_)
+        now_ - node.silenceCountsFromMs < kSilentAfterAims * tightestAimMs_)
         return;
-    node.silentSinceMs = std::max(node.lastHeardMs, 1.0);
+    node.silentSinceMs = std::max(node.silenceCountsFromMs, 1.0);
     node.lastTrialAttemptMs = now_;
     log("node " + std::to_string(node.id) + " answers nothing");
     if (node.weight <= 0) return;
@@ -52,7 +52,7 @@
                             now_ <= shutdown_.furtherAttemptUntilMs &&
                             servingNode(fleet_.cellForUpdate(request.cell)) == &node &&
                             !request.cancelPending;
-    if (!worthwhile || !mayRepeat(request, std::min(request.mayHaveRunSinceMs, attempt.sentMs)) ||
+    if (!worthwhile || !mayRepeat(request, std::min(request.earliestPossibleRunMs, attempt.sentMs)) ||
         !retryBudgetAllows())
         return;
     request.cancelPending = true;
--- a/src/limedrum/fleet.h
+++ b/src/limedrum/fleet.h
@@ -87,7 +87,7 @@
         std::erase_if(cellsInRounds, [&](CellId id) {
             Cell& c = cells.at(id);
             const auto wasOverloaded = [](const Node* n) { return n->overloadMsLastRound > 0; };
-            if (!c.isIdle() || cellsWithWork.contains(id) ||
+            if (!c.isUnaffectedByRounds() || cellsWithWork.contains(id) ||
                 std::any_of(c.holders.begin(), c.holders.end(), wasOverloaded))
                 return false;
             c.inRounds = false;
--- a/src/limedrum/learned_state.cpp
+++ b/src/limedrum/learned_state.cpp
@@ -144,8 +144,8 @@
     std::map<NodeId, Node> nodes;
     std::map<CellId, Cell> cells;
     std::map<std::string, Volume> volumes;
-    std::map<BudgetId, BudgetPart> shareLevels;
-    std::map<std::pair<BudgetId, int>, BudgetPart> coordinatorLevels;
+    std::map<BudgetId, BudgetLedger> shareLevels;
+    std::map<std::pair<BudgetId, int>, BudgetLedger> coordinatorLevels;
     std::map<double, double> recentRequests, recentRetries;
     double writtenMs = 0, budgetFillStartMs = 0;
 };
@@ -166,7 +166,7 @@
     cell.bidSum = reader.bid();
     cell.bidSumMs = reader.figure();
     cell.saturated = reader.integer() != 0;
-    for (double* figure : {&cell.offeredLastRound, &cell.offeredThisRound, &cell.tokensSpent})
+    for (double* figure : {&cell.offeredLastRound, &cell.offeredThisRound, &cell.admittedUnitsThisRound})
         *figure = reader.figure();
     state.cells[cell.id] = cell;
 }
@@ -188,7 +188,7 @@
         cell->second.volumes[name] = demand;
 }
 
-void readBucket(Reader& reader, BudgetPart& bucket) {
+void readBucket(Reader& reader, BudgetLedger& bucket) {
     bucket.bucketLevel = reader.figure();
     bucket.lastRefillMs = reader.figure();
 }
@@ -257,7 +257,8 @@
         out.bid(cell.bidSum);
         out.time(cell.bidSumMs);
         out.integer(cell.saturated ? 1 : 0);
-        for (const double figure : {cell.offeredLastRound, cell.offeredThisRound, cell.tokensSpent})
+        for (const double figure :
+             {cell.offeredLastRound, cell.offeredThisRound, cell.admittedUnitsThisRound})
             out.number(figure);
         for (const auto& [name, demand] : cell.volumes) {
             if (name.empty() || name.size() > kMaxNameBytes) continue;
@@ -279,7 +280,7 @@
 void endRound(ImportedState& imported) {
     for (auto& [id, cell] : imported.cells) {
         cell.offeredLastRound = std::exchange(cell.offeredThisRound, 0);
-        cell.tokensSpent = 0;
+        cell.admittedUnitsThisRound = 0;
         for (auto& [name, demand] : cell.volumes) {
             demand.offeredLastRound = std::exchange(demand.offeredThisRound, 0);
             for (auto& [worth, worthDemand] : demand.byWorth)
@@ -290,12 +291,12 @@
 }
 
 /// Writes a bucket's level and empties the bucket, which from now on fills from zero.
-void moveLevel(Writer& out, BudgetPart& bucket, double nowMs) {
+void moveLevel(Writer& out, BudgetLedger& bucket, double nowMs) {
     out.number(std::max(0.0, std::exchange(bucket.bucketLevel, 0)));
     out.time(std::exchange(bucket.lastRefillMs, nowMs));
 }
 /// Adds an imported level. The bucket's own level is small, since it was empty when this host started.
-void addLevel(BudgetPart& bucket, const BudgetPart& imported, double nowMs) {
+void addLevel(BudgetLedger& bucket, const BudgetLedger& imported, double nowMs) {
     bucket.bucketLevel += imported.bucketLevel;
     bucket.lastRefillMs = std::min(imported.lastRefillMs, nowMs);
 }
@@ -326,7 +327,7 @@
     }
     for (auto& [id, coordinator] : from.coordinatorBudgets) {
         if (id.first != 'v') continue;
-        for (auto& [index, bucket] : coordinator.parts) {
+        for (auto& [index, bucket] : coordinator.ledgers) {
             out.beginLine("till");
             out.integer(id.second);
             out.integer(static_cast<std::uint64_t>(index));
@@ -368,7 +369,7 @@
         cell.saturated = importedCell.saturated;
         cell.offeredLastRound = importedCell.offeredLastRound;
         cell.offeredThisRound += importedCell.offeredThisRound;
-        cell.tokensSpent += importedCell.tokensSpent;
+        cell.admittedUnitsThisRound += importedCell.admittedUnitsThisRound;
         for (auto& [name, demand] : importedCell.volumes)
             if (imported.volumes.contains(name)) cell.volumes.try_emplace(name, std::move(demand));
     }
@@ -378,7 +379,7 @@
     }
     for (const auto& [id, level] : imported.shareLevels) addLevel(to.budgetShares[id].evenPart, level, nowMs);
     for (const auto& [id, level] : imported.coordinatorLevels)
-        addLevel(to.coordinatorBudgets[id.first].parts[id.second], level, nowMs);
+        addLevel(to.coordinatorBudgets[id.first].ledgers[id.second], level, nowMs);
     to.budgetFillStartMs = std::min(imported.budgetFillStartMs, nowMs);
     prepend(to.recentRequests, imported.recentRequests);
     prepend(to.recentRetries, imported.recentRetries);
--- a/src/limedrum/node_selection.cpp
+++ b/src/limedrum/node_selection.cpp
@@ -64,9 +64,9 @@
         // The estimate has a random jitter of 25 %. Overloaded, cold and silent nodes get rising penalties.
         double expectedMs = (node->smoothedDelayMs + workMs) * (0.75 + 0.5 * random_.uniform());
         // The next answer will take at least as long as the node has been without one.
-        if (node->attemptsInFlight > 0) expectedMs = std::max(expectedMs, now_ - node->lastHeardMs);
+        if (node->attemptsInFlight > 0) expectedMs = std::max(expectedMs, now_ - node->silenceCountsFromMs);
         if (isOverloaded(*node)) expectedMs += tightestAimMs_;
-        if (now_ - node->delayMeasuredMs > kConnectionLikelyOpenMs)
+        if (now_ - node->lastDelaySampleMs > kConnectionLikelyOpenMs)
             expectedMs += kNewConnectionAimFraction * tightestAimMs_;
         if (isCold(*node)) expectedMs += 10 * tightestAimMs_;
         if (node->silentSinceMs > 0) expectedMs += 100 * tightestAimMs_;
--- a/src/limedrum/outcomes.cpp
+++ b/src/limedrum/outcomes.cpp
@@ -25,12 +25,12 @@
                     node.suspectedRestartMs = now_;
                 node.silentSinceMs = 0;
             }
-            node.lastHeardMs = now_;
+            node.silenceCountsFromMs = now_;
             node.sendsSinceAnswer = 0;
             node.latestAnsweredSendMs = std::max(node.latestAnsweredSendMs, attempt.sentMs);
         } else if (((event.outcome == Outcome::timedOut && node.sendsSinceAnswer >= kMinSendsForSilence) ||
                     event.outcome == Outcome::connectFailed) &&
-                   node.state == NodeState::serving && node.lastHeardMs <= attempt.sentMs &&
+                   node.state == NodeState::serving && node.silenceCountsFromMs <= attempt.sentMs &&
                    node.silentSinceMs <= 0) {
             node.silentSinceMs = attempt.sentMs;
         }
@@ -43,9 +43,9 @@
             const double durationMs = finiteOr(event.durationMs, 0);
             if (node.usualMsPerUnit <= 0) node.usualMsPerUnit = durationMs / attempt.units;
             const double delayMs = durationMs - attempt.units * node.usualMsPerUnit;
-            const double weight =
-                std::clamp((now_ - node.delayMeasuredMs) / kDelayEwmaFullWeightMs, kDelayEwmaMinWeight, 1.0);
-            node.delayMeasuredMs = now_;
+            const double weight = std::clamp((now_ - node.lastDelaySampleMs) / kDelayEwmaFullWeightMs,
+                                             kDelayEwmaMinWeight, 1.0);
+            node.lastDelaySampleMs = now_;
             node.smoothedDelayMs += weight * (std::max(0.0, delayMs) - node.smoothedDelayMs);
             if (node.smoothedDelayMs > kOverloadDelayAimFraction * tightestAimMs_)
                 markOverloaded(node);
@@ -70,7 +70,7 @@
     Request& request = requestIt->second;
     --request.attemptsInFlight;
     if (outcomeUnknown || event.outcome == Outcome::error)
-        request.mayHaveRunSinceMs = std::min(request.mayHaveRunSinceMs, attempt.sentMs);
+        request.earliestPossibleRunMs = std::min(request.earliestPossibleRunMs, attempt.sentMs);
     if (event.requestFinished || event.outcome == Outcome::done) {
         eraseRequest(event.id);
     } else if (request.attemptsInFlight == 0) {
@@ -81,8 +81,8 @@
                                request.notBeforeMs >= request.spec.expiresMs - settings_.tickMs ||
                                request.notBeforeMs > shutdown_.furtherAttemptUntilMs;
         const bool exhausted =
-            pointless || !mayRepeat(request, request.mayHaveRunSinceMs) || !retryBudgetAllows();
-        if (exhausted) return refuseOrFail(event.id, retriesExhausted), sendQueued(attempt.cell);
+            pointless || !mayRepeat(request, request.earliestPossibleRunMs) || !retryBudgetAllows();
+        if (exhausted) return refuseOrFail(event.id, notRepeated), sendQueued(attempt.cell);
         if (const auto nodeIt = fleet_.nodes.find(attempt.node); nodeIt != fleet_.nodes.end())
             request.cell = route(request, &nodeIt->second, false);
         fleet_.enqueue(request);
@@ -107,7 +107,7 @@
     unservedThisRound_.unitsByCause[cause] += request.spec.units;
     const ClassSettings& classSettings = classOf(request);
     const bool safeToRepeat = classSettings.idempotency == Idempotency::idempotent ||
-                              (request.attemptsInFlight == 0 && request.mayHaveRunSinceMs == kNever) ||
+                              (request.attemptsInFlight == 0 && request.earliestPossibleRunMs == kNever) ||
                               (classSettings.idempotency == Idempotency::deduplicated &&
                                classSettings.dedupScope == DedupScope::all);
     // The client can retry soon enough to be answered in time. If no node answers, it waits as long as
--- a/src/limedrum/rounds.cpp
+++ b/src/limedrum/rounds.cpp
@@ -15,7 +15,7 @@
             node->overloadMsLastRound = std::exchange(node->overloadMsThisRound, 0);
             // Unanswered units count as served under overload: a jammed node serves too little to show it.
             if (node->attemptsInFlight > 0 &&
-                now_ - node->lastHeardMs > kUnansweredOverloadAims * tightestAimMs_)
+                now_ - node->silenceCountsFromMs > kUnansweredOverloadAims * tightestAimMs_)
                 cell.currentRound.overloadUnits += node->unitsInFlight;
         }
         if (cell.bidSumMs < roundStartMs_ - kRoundMs) learnRate(cell, cell.ownBid);  // no bid sum has arrived
@@ -40,8 +40,8 @@
     std::erase_if(volumes_,
                   [this](const auto& entry) { return now_ - entry.second.lastSeenMs > 30 * kRoundMs; });
     const double idleBeforeMs = now_ - longestBudgetWindowMs_ - kGrantLifetimeMs - settings_.tickMs;
-    eraseIdle(budgetShares_, idleBeforeMs);
-    eraseIdle(coordinatorBudgets_, idleBeforeMs);
+    eraseUnusedSince(budgetShares_, idleBeforeMs);
+    eraseUnusedSince(coordinatorBudgets_, idleBeforeMs);
     fleet_.eraseGoneNodes();
     keyQueues_.eraseIdle(now_);
     recentRequests_.dropBefore(now_ - settings_.rules.budgetWindowMs);
--- a/src/limedrum/scheduler.cpp
+++ b/src/limedrum/scheduler.cpp
@@ -73,7 +73,7 @@
         const bool mayWait = request.attemptsStarted > 0 || isOrdered(request);
         const bool mayStart = request.attemptsInFlight > 0 || request.nextCheckMs < attemptUntilMs(request);
         const bool giveUp = !mayWait || !mayStart || request.nextCheckMs >= request.spec.expiresMs;
-        giveUp ? refuseOrFail(RequestId(request.spec.id), expired)
+        giveUp ? refuseOrFail(RequestId(request.spec.id), notStartedInTime)
                : scheduleCheck(request, nextCheckMs(request));
     }
     if (settings_.nodeListOnRequest && now_ >= subscribeDueMs_) {
@@ -95,15 +95,16 @@
         Node* node = servingNode(cell);
         if (node != nullptr) {
             if (observesOverload(*node))
-                node->overloadMsThisRound += std::min(now_ - node->lastSweepMs, 2 * kSweepIntervalMs);
-            node->lastSweepMs = now_;
+                node->overloadMsThisRound +=
+                    std::min(now_ - node->overloadCountedUntilMs, 2 * kSweepIntervalMs);
+            node->overloadCountedUntilMs = now_;
             detectSilence(*node);
             shedQueue(cell, *node);
             sendQueued(cellId);
         } else {
             if (cellId < 0) rerouteQueue(cell);
             while (!cell.queue.empty() && cell.queue.begin()->first <= now_)
-                refuseOrFail(RequestId(cell.queue.begin()->second), silentNode);
+                refuseOrFail(RequestId(cell.queue.begin()->second), nodeUnreachable);
         }
         if (cell.queue.empty() && (node == nullptr || node->attemptsInFlight == 0))
             fleet_.cellsWithWork.erase(cellId);
--- a/src/limedrum/scheduler_impl.h
+++ b/src/limedrum/scheduler_impl.h
@@ -53,7 +53,7 @@
     bool observesOverload(const Node& node) const { return now_ < node.localOverloadUntilMs; }
     // Without recent answers of its own, this host relies on the overload that the bid sums report.
     bool lacksRecentAnswers(const Node& node) const {
-        return now_ - node.delayMeasuredMs > kOwnObservationMaxAgeMs;
+        return now_ - node.lastDelaySampleMs > kOwnObservationMaxAgeMs;
     }
     bool isOverloaded(const Node& node) const {
         return observesOverload(node) || (now_ < node.reportedOverloadUntilMs && lacksRecentAnswers(node));
@@ -151,17 +151,17 @@
     double localBudgetFraction(BudgetId id) const;
     // Returns the units left in a part (`fraction`) of a budget. `ledgerStartMs` is the start of this host,
     // or -kNever for a node that started later, so that no earlier run of this host can have used its budget.
-    double availableUnits(BudgetPart& ledger, const Budget& budget, double fraction,
+    double availableUnits(BudgetLedger& ledger, const Budget& budget, double fraction,
                           double ledgerStartMs) const;
     void consumeBudget(BudgetId id, const std::optional<Budget>& budget, double units);
     int budgetCoordinator(BudgetId id, int coordinatorIndex) const;
     void sendBudgetMessage(int to, const BudgetMessage& message);
     void on(int sender, const BudgetMessage& message);
-    // Returns whether a request may be attempted again. `mayHaveRunSinceMs` is the time at which the first
-    // attempt that may have run was sent, or kNever.
-    bool mayRepeat(const Request& request, double mayHaveRunSinceMs) const;
+    // Returns whether a request may be attempted again. `earliestPossibleRunMs` is the time at which the
+    // first attempt that may have run was sent, or kNever.
+    bool mayRepeat(const Request& request, double earliestPossibleRunMs) const;
     // Returns the time by which the last byte of a repeat must be sent, including all waits on the way.
-    double repeatDeadlineMs(const Request& request, double mayHaveRunSinceMs) const;
+    double repeatDeadlineMs(const Request& request, double earliestPossibleRunMs) const;
     // Returns whether the retry budget of the rules permits one more attempt after a request's first.
     bool retryBudgetAllows();
     // Returns the last time at which the shutdown lets an attempt of the request begin.
--- a/src/limedrum/shared_budgets.cpp
+++ b/src/limedrum/shared_budgets.cpp
@@ -43,8 +43,8 @@
     const bool grantPending =
         request.grantRequestCount > 0 && now_ - request.lastGrantRequestMs < kGrantLifetimeMs &&
         share.lastDeniedMs[request.grantRequestCount % kBudgetCoordinators] < request.lastGrantRequestMs;
-    request.deniedByAllCoordinators = !grantPending && request.grantRequestCount >= kBudgetCoordinators;
-    if (!settings_.mayMessagePeers || grantPending || request.deniedByAllCoordinators) return false;
+    request.noGrantObtained = !grantPending && request.grantRequestCount >= kBudgetCoordinators;
+    if (!settings_.mayMessagePeers || grantPending || request.noGrantObtained) return false;
     request.lastGrantRequestMs = now_;
     const int coordinatorIndex = ++request.grantRequestCount % kBudgetCoordinators;
     sendBudgetMessage(budgetCoordinator(id, coordinatorIndex),
@@ -60,7 +60,7 @@
                : kLocalBudgetFraction;
 }
 
-double Scheduler::Impl::availableUnits(BudgetPart& ledger, const Budget& budget, double fraction,
+double Scheduler::Impl::availableUnits(BudgetLedger& ledger, const Budget& budget, double fraction,
                                        double ledgerStartMs) const {
     const double unusableUntilMs =
         ledgerStartMs < startMs_ ? 0 : startMs_ + budget.windowMs + kGrantLifetimeMs + settings_.tickMs;
@@ -106,7 +106,7 @@
         shareIt->second.granted.add(message.askerClockMs, message.units);
         if (message.units <= 0) shareIt->second.lastDeniedMs[message.coordinatorIndex] = now_;
     } else if (budgetCoordinator(message.id, message.coordinatorIndex) == settings_.self) {
-        BudgetPart& ledger = coordinatorBudgets_[message.id].parts[message.coordinatorIndex];
+        BudgetLedger& ledger = coordinatorBudgets_[message.id].ledgers[message.coordinatorIndex];
         const double ledgerStartMs = isColdNode && nodeIt->second.bootMs > startMs_ ? -kNever : startMs_;
         const bool covered =
             availableUnits(ledger, *budget, (1 - localBudgetFraction(message.id)) / kBudgetCoordinators,
--- a/src/limedrum/state.h
+++ b/src/limedrum/state.h
@@ -63,7 +63,7 @@
     bool isTokenBucket = false;
 };
 /// The use of one part of a budget.
-struct BudgetPart {
+struct BudgetLedger {
     SlidingWindow used;
     double bucketLevel = 0;  // of a token bucket; empty when its host starts
     double lastRefillMs = -std::numeric_limits<double>::infinity();
@@ -87,35 +87,36 @@
     }
     /// Whether the part was not used since `beforeMs`. If that is longer ago than any window, it is full
     /// again and need not be kept.
-    bool isIdle(double beforeMs) {
+    bool isUnusedSince(double beforeMs) {
         used.dropBefore(beforeMs);
         return used.entries.empty() && lastRefillMs < beforeMs;
     }
 };
 /// What this host may use of a shared budget.
 struct BudgetShare {
-    BudgetPart evenPart;                 // this host's part of the evenly split fraction
+    BudgetLedger evenPart;               // this host's part of the evenly split fraction
     SlidingWindow granted;               // units granted by the coordinators, by the time of asking
     std::map<int, double> lastDeniedMs;  // by coordinator index
 
-    bool isIdle(double beforeMs) {
+    bool isUnusedSince(double beforeMs) {
         granted.dropBefore(beforeMs);
-        return evenPart.isIdle(beforeMs) && granted.entries.empty();
+        return evenPart.isUnusedSince(beforeMs) && granted.entries.empty();
     }
 };
 /// What this host granted of a shared budget, by the coordinator index under which it did so.
 struct CoordinatorBudget {
-    std::map<int, BudgetPart> parts;
+    std::map<int, BudgetLedger> ledgers;
 
-    bool isIdle(double beforeMs) {
-        return std::all_of(parts.begin(), parts.end(), [&](auto& e) { return e.second.isIdle(beforeMs); });
+    bool isUnusedSince(double beforeMs) {
+        return std::all_of(ledgers.begin(), ledgers.end(),
+                           [&](auto& e) { return e.second.isUnusedSince(beforeMs); });
     }
 };
 /// Erases the entries of a map that were not used since `beforeMs`.
 template <typename Table>
-void eraseIdle(Table& table, double beforeMs) {
+void eraseUnusedSince(Table& table, double beforeMs) {
     for (auto it = table.begin(); it != table.end();)
-        it = it->second.isIdle(beforeMs) ? table.erase(it) : std::next(it);
+        it = it->second.isUnusedSince(beforeMs) ? table.erase(it) : std::next(it);
 }
 
 /// An open request: one without its final answer.
@@ -135,12 +136,12 @@
     bool streaming = false;
     bool cancelPending = false;  // its attempt is being cancelled, to be repeated at once
     /// Send time of the first attempt that may have been executed; infinity: none.
-    double mayHaveRunSinceMs = std::numeric_limits<double>::infinity();
+    double earliestPossibleRunMs = std::numeric_limits<double>::infinity();
     double notBeforeMs = 0;                  // earliest time of its next attempt
     std::optional<BudgetId> blockingBudget;  // the shared budget that is used up
     int grantRequestCount = 0;               // times that a coordinator of blockingBudget was asked
     double lastGrantRequestMs = 0;
-    bool deniedByAllCoordinators = false;  // by those of blockingBudget
+    bool noGrantObtained = false;  // by those of blockingBudget
 };
 /// An attempt in flight; it may outlast its request.
 struct Attempt {
@@ -166,14 +167,14 @@
     double unitsInFlight = 0;
     int attemptsInFlight = 0;
     int sendsSinceAnswer = 0;
-    double lastHeardMs = 0;           // last answer, or send time of the first attempt in flight if later
-    double latestAnsweredSendMs = 0;  // send time of the latest sent among the answered attempts
-    double usualMsPerUnit = 0;        // usual answer time per unit; 0: not known
-    double delayMeasuredMs = 0;       // last measurement of smoothedDelayMs
-    double smoothedDelayMs = 0;       // smoothed excess of answer times over the usual
-    double unitsPerSecond = 0;        // capacity for all hosts together; 0: not known
-    double lastSweepMs = 0;           // until when overloadMsThisRound is counted
-    double overloadMsThisRound = 0;   // time for which this host observed overload
+    double silenceCountsFromMs = 0;     // last answer, or send time of the first attempt in flight if later
+    double latestAnsweredSendMs = 0;    // send time of the latest sent among the answered attempts
+    double usualMsPerUnit = 0;          // usual answer time per unit; 0: not known
+    double lastDelaySampleMs = 0;       // last measurement of smoothedDelayMs
+    double smoothedDelayMs = 0;         // smoothed excess of answer times over the usual
+    double unitsPerSecond = 0;          // capacity for all hosts together; 0: not known
+    double overloadCountedUntilMs = 0;  // until when overloadMsThisRound is counted
+    double overloadMsThisRound = 0;     // time for which this host observed overload
     double overloadMsLastRound = 0;
     double lastOverloadSignMs = 0;
     double localOverloadUntilMs = 0;                                    // overload that this host observed
@@ -191,13 +192,13 @@
 };
 /// Why requests were not served.
 enum UnservedCause {
-    overLimit,         // the plan's limit is used up
-    coldNode,          // the budget of a cold node is used up
-    silentNode,        // the node does not answer, or nobody serves the cell
-    thinnedOut,        // refused at random because its node is overloaded
-    tooLate,           // shed from the queue of an overloaded node
-    expired,           // the request ran out of time
-    retriesExhausted,  // an attempt failed and is not repeated
+    overLimit,           // the plan's limit is used up
+    coldNode,            // the budget of a cold node is used up
+    nodeUnreachable,     // the node does not answer, or nobody serves the cell
+    refusedAtAdmission,  // refused at random because its node is overloaded
+    shedForOverload,     // shed from the queue of an overloaded node
+    notStartedInTime,    // the request ran out of time
+    notRepeated,         // an attempt failed and is not repeated
     causeCount
 };
 /// Units of the requests that were not served, by cause.
@@ -270,14 +271,14 @@
     double queuedUnits = 0;
     double offeredThisRound = 0;
     double offeredLastRound = 0;
-    double tokensSpent = 0;             // units admitted this round
+    double admittedUnitsThisRound = 0;  // units admitted this round
     double overloadUnitsLastRound = 0;  // units served under overload
     Bid currentRound;                   // units served so far in this round
     Bid ownBid;                         // this host's bid after the last round
     Bid bidSum;                         // of all bidders, as last received
     bool saturated = false;             // most units of all bidders were served under overload
     double bidSumMs = -std::numeric_limits<double>::infinity();  // when bidSum was received
-    double probabilitiesUpdatedMs = -std::numeric_limits<double>::infinity();
+    double admissionUpdatedMs = -std::numeric_limits<double>::infinity();
     std::map<std::string, Demand> volumes;
     std::vector<Node*> holders;  // owned by Fleet::nodes
 
@@ -291,7 +292,7 @@
         d.byWorth[worth].offeredThisRound += units;
     }
     /// Whether the end of another round would change nothing in the cell.
-    bool isIdle() const {
+    bool isUnaffectedByRounds() const {
         return volumes.empty() && !saturated &&
                offeredLastRound + offeredThisRound + ownBid.offeredUnits + ownBid.servedUnits +
                        currentRound.servedUnits <=
@@ -301,8 +302,8 @@
         ownBid = std::exchange(currentRound, {});
         ownBid.bidderCount = 1;
         ownBid.offeredUnits = offeredLastRound = std::exchange(offeredThisRound, 0);
-        tokensSpent = 0;
-        probabilitiesUpdatedMs = -std::numeric_limits<double>::infinity();
+        admittedUnitsThisRound = 0;
+        admissionUpdatedMs = -std::numeric_limits<double>::infinity();
     }
 };
 /// What this host knows of a volume, over all cells, in units. The served units halve each round, so that
--- a/src/limedrum/token_allocation.cpp
+++ b/src/limedrum/token_allocation.cpp
@@ -40,10 +40,10 @@
 }
 
 void Scheduler::Impl::updateAdmissionProbabilities(Cell& cell, const Node& node) {
-    if (now_ - cell.probabilitiesUpdatedMs < kAdmissionRefreshMs) return;
-    cell.probabilitiesUpdatedMs = now_;
+    if (now_ - cell.admissionUpdatedMs < kAdmissionRefreshMs) return;
+    cell.admissionUpdatedMs = now_;
     const double remainingS = std::max(roundStartMs_ + kRoundMs - now_, kAdmissionRefreshMs) / 1000;
-    double unitsPerSecond = std::max(tokenShare(cell, node) - cell.tokensSpent, 0.0) / remainingS;
+    double unitsPerSecond = std::max(tokenShare(cell, node) - cell.admittedUnitsThisRound, 0.0) / remainingS;
     std::vector<VolumeClaim> claims;
     double reserved = 0;
     for (auto& [name, demand] : cell.volumes) {
@@ -75,7 +75,7 @@
     // to suffice for all other requests.
     const double expectedUnits =
         expectedRate(cell.offeredThisRound, cell.offeredLastRound) * (roundStartMs_ + kRoundMs - now_) / 1000;
-    if (request.lateClientRetry) return tokenShare(cell, node) - cell.tokensSpent < expectedUnits;
+    if (request.lateClientRetry) return tokenShare(cell, node) - cell.admittedUnitsThisRound < expectedUnits;
     return random_.uniform() >=
            cell.volumes[request.spec.volume].byWorth[classOf(request).worth].admitProbability;
 }
