--- a/src/limedrum/state.h
+++ b/src/limedrum/state.h
@@ -1,5 +1,19 @@
 // The data that a host keeps about requests, attempts, nodes, volumes and budgets. The decisions are made in
 // Scheduler::Impl (src/limedrum/scheduler_impl.h).
+//
+// Terms:
+// host: one scheduler process; the other hosts are its peers. All hosts share the nodes.
+// unit: the measure of a request's expected work. volume: a client's storage, sized by its plan.
+// plan: rate, reserve, weight and limit of its volumes. aim: target answer time of a request class.
+// worth: value of an answer within the aim; under overload, requests of the least worth are refused first.
+// cell: what requests are queued and bids are made for: a shard, or one node of it if the nodes have weights.
+// holder: a node that holds a shard's data. cold node: one that started recently and bears less work.
+// round: a period of kRoundMs. bid: a host's figures for a cell in a round, sent to the cell's auctioneer,
+// a host drawn anew each round, which returns the sum over all bidders. Hosts derive their shares from it.
+// coordinator: a host that grants units of a budget which all hosts share.
+//
+// Members in ...Ms are points in time by the scheduler's clock, except for durations: windowMs,
+// smoothedDelayMs, usualMsPerUnit and overloadMs...Round.
 #pragma once
 
 #include <limedrum/scheduler.h>
@@ -21,9 +35,10 @@
 
 namespace limedrum {
 
-/// Units counted by time, with their sum.
+/// Amounts with the time of each, and their sum. The owner drops old ones with dropBefore(). Used for units
+/// and for counts of requests.
 struct SlidingWindow {
-    std::deque<std::pair<double, double>> entries;  // time in ms and units, oldest first
+    std::deque<std::pair<double, double>> entries;  // time in ms and amount, oldest first
     double totalUnits = 0;
 
     void add(double ms, double units) {
@@ -55,25 +70,26 @@
     }
 };
 
-/// A limit on what all hosts together may send: `units` within any window, or a token bucket of that capacity
-/// which fills from empty in `windowMs`.
+/// A limit on what all hosts together may send.
 struct Budget {
     double units = 0;
     double windowMs = 0;
+    /// true: a token bucket of capacity `units`, refilled at units / windowMs;
+    /// false: at most `units` in any period of `windowMs`.
     bool isTokenBucket = false;
 };
-/// The use of one part of a budget.
+/// What was used of one part of a budget.
 struct BudgetLedger {
     SlidingWindow used;
-    double bucketLevel = 0;  // of a token bucket; empty when its host starts
+    double bucketLevel = 0;  // of a token bucket, at lastRefillMs
     double lastRefillMs = -std::numeric_limits<double>::infinity();
 
-    /// Returns the units left in a `fraction` of `budget`. Consumed units count `lagMs` beyond the
-    /// window, because they may be used that much later. A bucket that was never refilled has been filling
-    /// since `startMs`.
+    /// Refills the bucket, drops old uses and returns the units left in a `fraction` of `budget`. A bucket
+    /// that was never refilled counts as empty at `startMs`. Without a bucket: units consumed at time t may
+    /// be sent until t + lagMs, so they count until t + windowMs + lagMs.
     double availableUnits(double nowMs, const Budget& budget, double fraction, double startMs, double lagMs) {
         const double capacity = fraction * budget.units;
-        // An imported bucket has been filling since before this host started.
+        // A ledger taken over from the preceding process (learned_state.h) keeps its refill time.
         const double sinceMs = std::isfinite(lastRefillMs) ? lastRefillMs : startMs;
         bucketLevel =
             std::min(capacity, bucketLevel + capacity * std::max(0.0, nowMs - sinceMs) / budget.windowMs);
@@ -85,8 +101,8 @@
         bucketLevel -= units;
         used.add(nowMs, units);
     }
-    /// Whether the part was not used since `beforeMs`. If that is longer ago than any window, it is full
-    /// again and need not be kept.
+    /// Returns whether units were neither consumed nor queried since `beforeMs`. If that is longer ago than
+    /// any budget's window, the whole part is available again and the ledger can be erased. Drops older uses.
     bool isUnusedSince(double beforeMs) {
         used.dropBefore(beforeMs);
         return used.entries.empty() && lastRefillMs < beforeMs;
@@ -94,8 +110,9 @@
 };
 /// What this host may use of a shared budget.
 struct BudgetShare {
-    BudgetLedger evenPart;               // this host's part of the evenly split fraction
-    SlidingWindow granted;               // units granted by the coordinators, by the time of asking
+    BudgetLedger evenPart;  // of this host's equal part of localBudgetFraction(), used without asking
+    /// Units granted by coordinators, with the time of the request, from which kGrantLifetimeMs counts.
+    SlidingWindow granted;
     std::map<int, double> lastDeniedMs;  // by coordinator index
 
     bool isUnusedSince(double beforeMs) {
@@ -103,16 +120,17 @@
         return evenPart.isUnusedSince(beforeMs) && granted.entries.empty();
     }
 };
-/// What this host granted of a shared budget, by the coordinator index under which it did so.
+/// What this host granted of a shared budget as its coordinator. A host may be several of the
+/// kBudgetCoordinators coordinators; it has one ledger for each.
 struct CoordinatorBudget {
-    std::map<int, BudgetLedger> ledgers;
+    std::map<int, BudgetLedger> ledgers;  // by coordinator index
 
     bool isUnusedSince(double beforeMs) {
         return std::all_of(ledgers.begin(), ledgers.end(),
                            [&](auto& e) { return e.second.isUnusedSince(beforeMs); });
     }
 };
-/// Erases the entries of a map that were not used since `beforeMs`.
+/// Erases the entries of a map that were neither used nor queried since `beforeMs`.
 template <typename Table>
 void eraseUnusedSince(Table& table, double beforeMs) {
     for (auto it = table.begin(); it != table.end();)
@@ -123,66 +141,78 @@
 struct Request {
     RequestEvent spec;
     double arrivalMs = 0;
-    double dueMs = 0;         // when the aim ends; of a late client retry, when it expires
-    double nextCheckMs = 0;   // when to check whether it can still be served
-    double worthPerUnit = 0;  // requests with the lowest are shed first
-    CellId cell = -1;
+    /// Its order in the queue: when the aim ends, counted from the client's first try, but at most the
+    /// expiry; of a late client retry, the expiry. A shutdown may move it forward.
+    double dueMs = 0;
+    double nextCheckMs = 0;   // when sweep() next decides whether to give the request up
+    double worthPerUnit = 0;  // an overloaded node's queue drops those with the lowest value first
+    CellId cell = -1;         // -1: none
     int attemptsStarted = 0;
     int attemptsInFlight = 0;
-    bool lateClientRetry = false;  // a client's retry that arrived after the aim of its first try
-    bool limitCharged = false;     // its units were taken from the volume's limit
-    int maxAttempts = 1;           // the first attempt included
+    /// Taken for a client's retry after the aim of its first try, because its remaining time is shorter than
+    /// the longest seen in its class by more than the aim.
+    bool lateClientRetry = false;
+    bool limitCharged = false;  // set by the first attempt: the volume's limit needs no further check
+    int maxAttempts = 1;        // the first attempt included
     bool queued = false;
     bool streaming = false;
-    bool cancelPending = false;  // its attempt is being cancelled, to be repeated at once
-    /// Send time of the first attempt that may have been executed; infinity: none.
+    bool cancelPending = false;  // cancellation of its attempt requested; the retry then has no delay
+    /// Earliest send time of its attempts that have ended and may have been executed; infinity: none.
     double earliestPossibleRunMs = std::numeric_limits<double>::infinity();
     double notBeforeMs = 0;                  // earliest time of its next attempt
-    std::optional<BudgetId> blockingBudget;  // the shared budget that is used up
+    std::optional<BudgetId> blockingBudget;  // shared budget that does not cover its units now
     int grantRequestCount = 0;               // times that a coordinator of blockingBudget was asked
     double lastGrantRequestMs = 0;
-    bool noGrantObtained = false;  // by those of blockingBudget
+    /// Each coordinator of blockingBudget was asked, none may still answer, and the units are not covered.
+    bool noGrantObtained = false;
 };
-/// An attempt in flight; it may outlast its request.
+/// An attempt whose outcome has not been reported; it may outlast its request.
 struct Attempt {
     NodeId node = 0;
     CellId cell = 0;
     double sentMs = 0;
     double units = 0;
-    bool presumedLost = false;  // no answer is expected; not counted among the node's attempts in flight
+    bool presumedLost = false;  // no answer is expected; not counted in Node::attemptsInFlight
     std::string orderingKey;    // the request's key if its class is ordered, else empty
     std::string volume;
 };
-/// A listed node, and what this host has learned about it. Overload means that answers take longer than usual
-/// by a fraction of the aim, or that the node rejects requests.
+/// A listed node, and what this host has learned about it. A node counts as overloaded if its answers take
+/// longer than usual by a fraction of the aim, if it rejects a request, if a request waits too long for an
+/// in-flight slot, or if the bid sums show it; see markOverloaded() and isOverloaded().
 struct Node {
     NodeId id = 0;
     CellId cell = 0;
     int shard = 0;
-    double weight = 0;           // relative to the shard's other holders; 0: not known
-    bool inCellHolders = false;  // it is in Cell::holders
+    double weight = 0;           // share relative to the shard's other holders, in a cell of its own;
+                                 // 0: unweighted, in the shard's common cell
+    bool inCellHolders = false;  // false before it is first attached to its cell
     int zone = 0;
     NodeState state = NodeState::gone;
-    double bootMs = 0;
+    double bootMs = 0;  // start time by the scheduler's clock; 0: long ago
     double unitsInFlight = 0;
     int attemptsInFlight = 0;
     int sendsSinceAnswer = 0;
-    double silenceCountsFromMs = 0;     // last answer, or send time of the first attempt in flight if later
-    double latestAnsweredSendMs = 0;    // send time of the latest sent among the answered attempts
-    double usualMsPerUnit = 0;          // usual answer time per unit; 0: not known
-    double lastDelaySampleMs = 0;       // last measurement of smoothedDelayMs
-    double smoothedDelayMs = 0;         // smoothed excess of answer times over the usual
+    double silenceCountsFromMs = 0;     // last answer, or later send while nothing was in flight
+    double latestAnsweredSendMs = 0;    // latest send time of an answered attempt; older ones may be lost
+    double usualMsPerUnit = 0;          // low quantile (kUnitTimeQuantile) of answer times; 0: not known
+    double lastDelaySampleMs = 0;       // when smoothedDelayMs was last updated
+    double smoothedDelayMs = 0;         // smoothed excess of answer times over usualMsPerUnit
     double unitsPerSecond = 0;          // capacity for all hosts together; 0: not known
-    double overloadCountedUntilMs = 0;  // until when overloadMsThisRound is counted
+    double overloadCountedUntilMs = 0;  // up to when overload has been added to overloadMsThisRound
     double overloadMsThisRound = 0;     // time for which this host observed overload
     double overloadMsLastRound = 0;
     double lastOverloadSignMs = 0;
-    double localOverloadUntilMs = 0;                                    // overload that this host observed
-    double reportedOverloadUntilMs = 0;                                 // overload inferred from the bid sums
-    double lastSaturatedMs = -std::numeric_limits<double>::infinity();  // last bid sum that showed saturation
-    double silentSinceMs = 0;                                           // 0: the node answers
-    double lastTrialAttemptMs = 0;  // last attempt sent to check whether the silent node answers again
-    double suspectedRestartMs = 0;  // answered then after a long silence, perhaps cold; 0: no suspicion
+    double localOverloadUntilMs = 0;     // end of the overload that this host observed
+    double reportedOverloadUntilMs = 0;  // end of the overload shown by all hosts' bids
+    double lastSaturatedMs =
+        -std::numeric_limits<double>::infinity();  // when a bid sum, or without one this host's bid,
+    // last showed saturation
+    double silentSinceMs = 0;       // since when it counts as silent; 0: not silent
+    double lastTrialAttemptMs = 0;  // last attempt to find whether the silent node answers, or when
+                                    // silence was detected
+    /// Time of an answer that ended a long silence; counts as a start time until the node list can have
+    /// reported a restart. 0: none.
+    double suspectedRestartMs = 0;
 
     /// Removes an attempt from those in flight, because it ended or is presumed lost.
     void removeAttempt(double units) {
@@ -190,22 +220,22 @@
         unitsInFlight = attemptsInFlight == 0 ? 0 : std::max(0.0, unitsInFlight - units);
     }
 };
-/// Why requests were not served.
+/// Why requests were not served. The words of the log are in UnservedUnits::text(), in this order.
 enum UnservedCause {
-    overLimit,           // the plan's limit is used up
-    coldNode,            // the budget of a cold node is used up
-    nodeUnreachable,     // the node does not answer, or nobody serves the cell
-    refusedAtAdmission,  // refused at random because its node is overloaded
-    shedForOverload,     // shed from the queue of an overloaded node
-    notStartedInTime,    // the request ran out of time
-    notRepeated,         // an attempt failed and is not repeated
+    overLimit,           // the plan's limit did not cover the request in time
+    coldNode,            // a cold node's budget did not cover the request in time
+    nodeUnreachable,     // the node does not answer, or no node serves the cell
+    refusedAtAdmission,  // refused on arrival, because its node is overloaded
+    shedForOverload,     // of least worth in an overloaded queue that cannot all be served in time
+    notStartedInTime,    // no attempt started within kFirstAttemptTimeFraction, expired, or shut down
+    notRepeated,         // an attempt failed, and a repeat is not allowed or has no prospect
     causeCount
 };
 /// Units of the requests that were not served, by cause.
 struct UnservedUnits {
     double unitsByCause[causeCount] = {};
 
-    /// Returns the causes that occurred with their units, each after a space; empty if none did.
+    /// Returns the causes that occurred with their units, for example " limit 12 cold 3", or "".
     std::string text() const {
         static constexpr const char* kNames[causeCount] = {"limit", "cold",    "silent", "thinned",
                                                            "late",  "expired", "retries"};
@@ -217,17 +247,17 @@
         return line;
     }
 };
-/// Units offered at one worth per unit.
+/// Units offered by requests whose classes have the same ClassSettings::worth.
 struct WorthDemand {
     double offeredThisRound = 0;
     double offeredLastRound = 0;
-    double admitProbability = 1;
+    double admitProbability = 1;  // while the node is overloaded
 };
-/// What a volume asks of a cell through this host, in units.
+/// The units that clients of a volume offer to a cell through this host.
 struct Demand {
     double offeredThisRound = 0;
     double offeredLastRound = 0;
-    double fairUnitsPerSecond = 0;                          // allotted to the volume
+    double fairUnitsPerSecond = 0;                          // this host's share for the volume in the cell
     std::map<double, WorthDemand, std::greater<>> byWorth;  // by ClassSettings::worth, highest first
 };
 /// A volume's claim on a node's capacity.
@@ -236,33 +266,34 @@
     double askedUnitsPerSecond = 0;
     double weight = 1;
 };
-/// Distributes `budget` units per second among the claims. Each keeps its present fairUnitsPerSecond, which
-/// add up to `reserved`; they are scaled down if they exceed the budget. The rest is distributed by weight,
-/// to each at most what it asks.
-inline void distributeByWeight(std::vector<VolumeClaim>& claims, double budget, double reserved) {
-    if (reserved > budget) {
-        for (VolumeClaim& claim : claims) claim.demand->fairUnitsPerSecond *= budget / reserved;
+/// Distributes `capacity` units per second among the claims and sets their fairUnitsPerSecond. On entry
+/// these hold the reserves, which add up to `reserved`. Reserves beyond the capacity are scaled down to fit;
+/// otherwise the rest is distributed by weight, to each claim at most what it asks.
+inline void distributeByWeight(std::vector<VolumeClaim>& claims, double capacity, double reserved) {
+    if (reserved > capacity) {
+        for (VolumeClaim& claim : claims) claim.demand->fairUnitsPerSecond *= capacity / reserved;
     }
-    budget -= std::min(budget, reserved);
-    for (bool redistribute = true; redistribute && budget > 0;) {
+    capacity -= std::min(capacity, reserved);
+    // Repeats while a claim takes less than its weight allows, which leaves units for the others.
+    for (bool redistribute = true; redistribute && capacity > 0;) {
         redistribute = false;
         double weights = 0;
         for (const VolumeClaim& claim : claims)
             weights += claim.demand->fairUnitsPerSecond < claim.askedUnitsPerSecond ? claim.weight : 0;
         if (weights <= 0) break;
-        const double each = budget / weights;
+        const double each = capacity / weights;
         for (VolumeClaim& claim : claims) {
             if (claim.demand->fairUnitsPerSecond >= claim.askedUnitsPerSecond) continue;
-            const double granted =
+            const double added =
                 std::min(each * claim.weight, claim.askedUnitsPerSecond - claim.demand->fairUnitsPerSecond);
-            redistribute = redistribute || granted < each * claim.weight;
-            claim.demand->fairUnitsPerSecond += granted;
-            budget -= granted;
+            redistribute = redistribute || added < each * claim.weight;
+            claim.demand->fairUnitsPerSecond += added;
+            capacity -= added;
         }
     }
 }
-/// The unit in which requests are queued and bids are made: a shard, or one weighted holder of a shard. Units
-/// are counted for this host unless said otherwise.
+/// Requests are queued and bids made per cell: a shard, or a single node where nodes have weights. Figures
+/// are of this host unless said otherwise.
 struct Cell {
     CellId id = 0;
     std::size_t cellsWithHoldersIndex = 0;         // index in Fleet::cellsWithHolders, if it has holders
@@ -271,18 +302,19 @@
     double queuedUnits = 0;
     double offeredThisRound = 0;
     double offeredLastRound = 0;
-    double admittedUnitsThisRound = 0;  // units admitted this round
-    double overloadUnitsLastRound = 0;  // units served under overload
-    Bid currentRound;                   // units served so far in this round
+    double admittedUnitsThisRound = 0;  // not reduced if a request is dropped later
+    double overloadUnitsLastRound = 0;  // without the unanswered units that the bid includes
+    Bid currentRound;                   // servedUnits and overloadUnits so far in this round
     Bid ownBid;                         // this host's bid after the last round
     Bid bidSum;                         // of all bidders, as last received
-    bool saturated = false;             // most units of all bidders were served under overload
+    bool saturated = false;  // showsSaturation() of the last round's bid sum, or without one of ownBid
     double bidSumMs = -std::numeric_limits<double>::infinity();  // when bidSum was received
+    /// When the admission probabilities of `volumes` were updated.
     double admissionUpdatedMs = -std::numeric_limits<double>::infinity();
     std::map<std::string, Demand> volumes;
     std::vector<Node*> holders;  // owned by Fleet::nodes
 
-    /// Counts a request for the bids. With 0 units, as for a client's late retry, it only registers the
+    /// Counts a request as demand. With 0 units, as for a client's late retry, it only adds an entry for the
     /// volume.
     void addDemand(const std::string& volume, double worth, double units) {
         Demand& d = volumes[volume];
@@ -298,6 +330,7 @@
                        currentRound.servedUnits <=
                    0;
     }
+    /// Starts the bid of the ended round; Impl::endRound() adds its reserved and weighted units.
     void endRound() {
         ownBid = std::exchange(currentRound, {});
         ownBid.bidderCount = 1;
@@ -306,17 +339,17 @@
         admissionUpdatedMs = -std::numeric_limits<double>::infinity();
     }
 };
-/// What this host knows of a volume, over all cells, in units. The served units halve each round, so that
-/// older observations count less.
+/// What this host knows of a volume, over all cells.
 struct Volume {
     int planNo = 0;
-    int hostCount = 1;  // hosts that receive requests for the volume
-    double servedViaThisHost = 0;
-    double servedViaOtherHosts = 0;  // by nodes that this host also uses
-    double offeredThisRound = 0;
+    int hostCount = 1;               // hosts that receive requests for the volume
+    double servedViaThisHost = 0;    // units
+    double servedViaOtherHosts = 0;  // units, as reported with outcomes (unitsViaOtherHosts)
+    double offeredThisRound = 0;     // units
     double offeredLastRound = 0;
     double lastSeenMs = 0;
 
+    /// Halves the served units, so that older observations count less.
     void endRound() {
         offeredLastRound = std::exchange(offeredThisRound, 0);
         servedViaThisHost /= 2;
@@ -324,12 +357,15 @@
     }
 };
 /// Queues of ordered requests by key, in order of arrival. Requests with the same key run one at a time.
+/// After an attempt with an unknown outcome, which a node may still be executing, the key pauses
+/// (orderPauseMs).
 class KeyQueues {
 public:
     void enqueue(const std::string& key, const RequestId& id) {
         queues_[key].entries.push_back({id, 0, false});
     }
-    /// Whether it is this request's turn. A first attempt also waits until the key's pause is over.
+    /// Returns whether it is this request's turn, or the key has no queue. A first attempt also waits until
+    /// the key's pause is over.
     bool mayStart(const std::string& key, const RequestId& id, bool firstAttempt, double nowMs) const {
         const auto queue = queues_.find(key);
         if (queue == queues_.end() || queue->second.entries.empty()) return true;
@@ -337,13 +373,13 @@
                (!firstAttempt || nowMs >= queue->second.pausedUntilMs);
     }
     void attemptSent(const std::string& key, const RequestId& id) { updateEntry(key, id, 1, false); }
-    /// Records the end of an attempt; first attempts with the key then wait until `pausedUntilMs`.
+    /// Records the end of an attempt. First attempts with the key then wait until `pausedUntilMs` at least.
     void attemptEnded(const std::string& key, const RequestId& id, double pausedUntilMs) {
-        double& pausedUntil = queues_[key].pausedUntilMs;
-        pausedUntil = std::max(pausedUntil, pausedUntilMs);
+        double& keyPausedUntilMs = queues_[key].pausedUntilMs;
+        keyPausedUntilMs = std::max(keyPausedUntilMs, pausedUntilMs);
         updateEntry(key, id, -1, false);
     }
-    /// Removes the request once its attempts have ended, too.
+    /// Removes the request now, or when its last attempt ends.
     void requestFinished(const std::string& key, const RequestId& id) { updateEntry(key, id, 0, true); }
     /// Erases keys that have no requests and no pause left.
     void eraseIdle(double nowMs) {
@@ -376,7 +412,7 @@
     std::map<std::string, KeyQueue> queues_;
 };
 
-/// FNV-1a, the same on every host.
+/// FNV-1a. Must not change: by it hosts agree on the coordinators of budgets and the holders of pieces.
 inline std::uint64_t fnv1aHash(const std::string& name) {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
