--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -21,18 +21,18 @@
 namespace martencove {
 namespace {
 
-/// Reads what a client has sent behind the request in progress, until `maxBytes` bytes are in the buffer from
-/// which evhttp takes the next request. The client's close can be seen only behind these bytes. Returns false
-/// if the client has disconnected.
-bool readAhead(bufferevent* socket, std::size_t maxBytes) {
-    const evutil_socket_t fd = bufferevent_getfd(socket);
-    evbuffer* input = bufferevent_get_input(socket);
+/// Reads the pipelined input that follows the request in progress, because the client's close is seen only
+/// after it. Stops at `maxBytes` bytes in the buffer from which evhttp takes the next request. Returns false
+/// if the client has disconnected or the connection failed.
+bool readAhead(bufferevent* bev, std::size_t maxBytes) {
+    const evutil_socket_t fd = bufferevent_getfd(bev);
+    evbuffer* input = bufferevent_get_input(bev);
     char chunk[4096];
     while (evbuffer_get_length(input) < maxBytes) {
         const ssize_t received = recv(fd, chunk, sizeof chunk, MSG_DONTWAIT);
         if (received == 0) return false;
         if (received < 0) return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-        evbuffer_unfreeze(input, 0);  // libevent allows only its own reads to append
+        evbuffer_unfreeze(input, 0);  // 0: the end; libevent allows only its own reads to append
         evbuffer_add(input, chunk, static_cast<std::size_t>(received));
         evbuffer_freeze(input, 0);
     }
@@ -42,7 +42,8 @@
 
 }  // namespace
 
-/// Handles one client request until its answer is handed to the connection or the client has disconnected.
+/// Handles one client request. Exists until the request is answered or its client has disconnected, and all
+/// its attempts have ended.
 class HttpRequestHandler final : public RequestHandler {
 public:
     HttpRequestHandler(HttpFront& front, evhttp_request* request, DecodedRequest decoded)
@@ -79,8 +80,9 @@
 
     bool cancelIfUnsent(int attemptNumber) override { return eraseIfUnsent(streams_, attemptNumber); }
 
-    /// Called when a long response begins. The dispatcher counts the request as served, so that no further
-    /// attempt is made; the client's connection takes over the stream. Returns whether the stream goes on.
+    /// Called when a long response begins. Reports the attempt as served, so that no further attempt is made.
+    /// The dispatcher then calls sendAnswer(), which moves startedStream_ to the Client. Returns whether that
+    /// happened, so that the stream goes on.
     bool streamStarted(int attemptNumber) {
         const auto started = streams_.find(attemptNumber);
         startedStream_ = std::move(started->second);
@@ -89,17 +91,19 @@
         const ResponseStream* stream = startedStream_.get();
         evhttp_connection* connection =
             request_ == nullptr ? nullptr : evhttp_request_get_connection(request_);
-        front.dispatcher_.attemptEnded(RequestId(id()), attemptNumber,
-                                       AttemptStatus::served);  // may free this object
+        // Passes a copy of the id, since the call may free this object.
+        front.dispatcher_.attemptEnded(RequestId(id()), attemptNumber, AttemptStatus::served);
         const auto client = front.connections_.find(connection);
         return client != front.connections_.end() && client->second.stream.get() == stream;
     }
 
     void attemptEnded(int attemptNumber, NodeReply reply) {
         const AttemptStatus status = reply.status;
+        // The first served reply is the answer.
         if (status == AttemptStatus::served && servedReply_.status != AttemptStatus::served)
             servedReply_ = std::move(reply);
         streams_.erase(attemptNumber);
+        // Passes a copy of the id, since the call may free this object.
         front_.dispatcher_.attemptEnded(RequestId(id()), attemptNumber, status);
     }
 
@@ -112,7 +116,7 @@
             front_.decideConnectionClose(request);
             return client.stream->sendHeaders(
                 request, [front = &front_](evhttp_connection* connection, bool complete) {
-                    front->streamDone(connection, complete);
+                    front->onStreamDone(connection, complete);
                 });
         }
         evkeyvalq* headers = evhttp_request_get_output_headers(request);
@@ -133,10 +137,12 @@
         }
     }
 
-    /// Called when the client's connection is being closed.
+    /// Called when evhttp is closing the client's connection. onClientReadable() handles closes that this
+    /// object detects.
     void clientDisconnected() {
         evhttp_request* request = detachRequest();
-        // evhttp has detached a request whose connection broke by itself; it has to be freed here.
+        // If the client closed the connection or it failed, evhttp has detached the request, which has to be
+        // freed here.
         if (request != nullptr && evhttp_request_get_connection(request) == nullptr)
             evhttp_request_free(request);
         front_.dispatcher_.clientDisconnected(id());
@@ -165,7 +171,7 @@
         auto* self = static_cast<HttpRequestHandler*>(arg);
         const std::size_t maxBytes = self->front_.limits_.maxReadAheadBytes;
         if (readAhead(self->clientBufferevent(), maxBytes)) {
-            // With the buffer full the socket would stay readable, so it is checked by a timer instead.
+            // With the buffer full, EV_READ would fire continuously, so a timer checks the socket instead.
             const bool full =
                 evbuffer_get_length(bufferevent_get_input(self->clientBufferevent())) >= maxBytes;
             if (full)
@@ -194,19 +200,19 @@
 
 namespace {
 
-/// Returns whether the socket has unread bytes. They may be a request, which closing the socket would lose.
-bool hasUnreadBytes(bufferevent* socket) {
+/// Returns whether the socket has unread bytes, also true on error. Closing it would lose a request in them.
+bool hasUnreadBytes(bufferevent* bev) {
     int unreadBytes = 0;
-    return ioctl(bufferevent_getfd(socket), FIONREAD, &unreadBytes) != 0 || unreadBytes > 0;
+    return ioctl(bufferevent_getfd(bev), FIONREAD, &unreadBytes) != 0 || unreadBytes > 0;
 }
 
 /// Returns whether the socket has unread bytes, or the input buffer has bytes that were not processed.
-bool hasInput(bufferevent* socket) {
-    return hasUnreadBytes(socket) || evbuffer_get_length(bufferevent_get_input(socket)) > 0;
+bool hasInput(bufferevent* bev) {
+    return hasUnreadBytes(bev) || evbuffer_get_length(bufferevent_get_input(bev)) > 0;
 }
 
 /// Returns whether output is still to be written.
-bool hasOutput(bufferevent* socket) { return evbuffer_get_length(bufferevent_get_output(socket)) > 0; }
+bool hasOutput(bufferevent* bev) { return evbuffer_get_length(bufferevent_get_output(bev)) > 0; }
 
 /// Returns whether evhttp closes the connection once the request's answer is written.
 bool endsWithAnswer(evhttp_request* request) {
@@ -221,10 +227,10 @@
            (isHttp10 && !hasConnectionOption(requestHeaders, "keep-alive"));
 }
 
-/// Closes a connection at once by firing its read timeout. After a plain shutdown of the socket evhttp would
-/// first read and accept a request that arrives in that moment, and could not answer it.
-void timeOut(bufferevent* socket) {
-    bufferevent_trigger_event(socket, BEV_EVENT_READING | BEV_EVENT_TIMEOUT, 0);
+/// Closes a connection at once by making evhttp handle a read timeout. After a plain shutdown of the socket
+/// evhttp would first read and accept a request that arrives in that moment, and could not answer it.
+void closeViaTimeoutEvent(bufferevent* bev) {
+    bufferevent_trigger_event(bev, BEV_EVENT_READING | BEV_EVENT_TIMEOUT, 0);
 }
 
 /// Returns whether a connection waits to be accepted.
@@ -238,35 +244,31 @@
 
 }  // namespace
 
-HttpFront::InputTracker::InputTracker(bufferevent* connection) : buffers(connection) {
-    evbuffer_add_cb(bufferevent_get_input(buffers), onInput, this);
+HttpFront::InputTracker::InputTracker(bufferevent* connectionBev) : bev(connectionBev) {
+    evbuffer_add_cb(bufferevent_get_input(bev), onInput, this);
 }
 
-HttpFront::InputTracker::~InputTracker() {
-    evbuffer_remove_cb(bufferevent_get_input(buffers), onInput, this);
-}
+HttpFront::InputTracker::~InputTracker() { evbuffer_remove_cb(bufferevent_get_input(bev), onInput, this); }
 
 void HttpFront::InputTracker::onInput(evbuffer*, const evbuffer_cb_info* info, void* arg) {
     auto* self = static_cast<InputTracker*>(arg);
     if (info->n_added == 0) return;
     self->requestStarted = true;
-    // Nothing processes what arrives after evhttp has closed the connection, so reading stops.
-    if (closedByEvhttp(self->buffers)) bufferevent_disable(self->buffers, EV_READ);
+    // Input after evhttp has closed the connection is not consumed, so reading stops.
+    if (closedByEvhttp(self->bev)) bufferevent_disable(self->bev, EV_READ);
 }
 
-bool HttpFront::InputTracker::isIdle() const {
-    return !requestStarted && !hasInput(buffers) && !hasOutput(buffers);
-}
+bool HttpFront::InputTracker::isIdle() const { return !requestStarted && !hasInput(bev) && !hasOutput(bev); }
 
-// Unread bytes may complete the request, so evhttp has to read them first.
 bool HttpFront::InputTracker::hasPartialRequest() const {
-    const bool hasBytes = requestStarted || evbuffer_get_length(bufferevent_get_input(buffers)) > 0;
-    return hasBytes && !hasUnreadBytes(buffers) && !hasOutput(buffers);
+    const bool hasBytes = requestStarted || evbuffer_get_length(bufferevent_get_input(bev)) > 0;
+    // Unread bytes may complete the request, so evhttp has to read them first.
+    return hasBytes && !hasUnreadBytes(bev) && !hasOutput(bev);
 }
 
-HttpFront::HttpFront(event_base* base, const Address& listen, Dispatcher& dispatcher,
+HttpFront::HttpFront(event_base* base, const Address& listenAddress, Dispatcher& dispatcher,
                      HttpNodeConnectionPool& pool, const limedrum::ProgramSettings& settings,
-                     const Limits& limits, Log& log, int listener)
+                     const Limits& limits, Log& log, int inheritedListenFd)
     : base_(base),
       dispatcher_(dispatcher),
       pool_(pool),
@@ -282,16 +284,17 @@
     evhttp_set_timeout_tv(server_.get(), &idle);
     evhttp_set_gencb(server_.get(), onRequest, this);
     evhttp_set_bevcb(server_.get(), onAccept, this);
-    boundSocket_ = listener >= 0
-                       ? evhttp_accept_socket_with_handle(server_.get(), listener)
-                       : evhttp_bind_socket_with_handle(server_.get(), listen.host.c_str(), listen.port);
-    if (boundSocket_ == nullptr) throw std::runtime_error("listen: cannot bind " + listen.toString());
+    boundSocket_ =
+        inheritedListenFd >= 0
+            ? evhttp_accept_socket_with_handle(server_.get(), inheritedListenFd)
+            : evhttp_bind_socket_with_handle(server_.get(), listenAddress.host.c_str(), listenAddress.port);
+    if (boundSocket_ == nullptr) throw std::runtime_error("listen: cannot bind " + listenAddress.toString());
     connectionCheckTimer_.start(limits.sweepIntervalMs);
 }
 
 HttpFront::~HttpFront() = default;
 
-// If another process shares the listener, that one accepts the waiting connections.
+// If another process shares the listener, the connections still queued are left to that one.
 bool HttpFront::closeListener(bool atOnce) {
     if (boundSocket_ == nullptr) return true;
     if (!atOnce && !listenerYielded_ && connectionWaits(listenerFd())) {
@@ -307,44 +310,43 @@
 void HttpFront::closeFinishedConnections(bool refusePartial) {
     closeIdleConnections(connections_.size(), 0);
     const double acceptedBefore = dispatcher_.nowMs() - limits_.shutdownFirstRequestTimeoutMs;
-    std::vector<bufferevent*> silent;
-    for (const auto& [buffers, connection] : newConnections_)
-        if (connection.acceptedAtMs <= acceptedBefore && connection.input->isIdle())
-            silent.push_back(buffers);
-    for (bufferevent* buffers : silent) timeOut(buffers);
+    std::vector<bufferevent*> stalled;
+    for (const auto& [bev, connection] : newConnections_)
+        if (connection.acceptedAtMs <= acceptedBefore && connection.input->isIdle()) stalled.push_back(bev);
+    for (bufferevent* bev : stalled) closeViaTimeoutEvent(bev);
     if (refusePartial) refusePartialRequests();
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
 }
 
 void HttpFront::refusePartialRequests() {
-    const auto refuse = [this](bufferevent* buffers) {
+    const auto refuse = [this](bufferevent* bev) {
         dispatcher_.counters().add("request_partial_refused");
-        (void)send(bufferevent_getfd(buffers), kPartialRefusal.data(), kPartialRefusal.size(), MSG_NOSIGNAL);
+        (void)send(bufferevent_getfd(bev), kPartialRefusal.data(), kPartialRefusal.size(), MSG_NOSIGNAL);
     };
     std::vector<evhttp_connection*> partial;
     for (auto& [connection, client] : connections_) {
         if (client.isBusy() || !client.input->hasPartialRequest()) continue;
-        refuse(client.input->buffers);
+        refuse(client.input->bev);
         client.lingerOnClose = true;
         partial.push_back(connection);
     }
     for (evhttp_connection* connection : partial) evhttp_connection_free(connection);
-    for (auto& [buffers, newConnection] : newConnections_) {
-        if (closedByEvhttp(buffers) || !newConnection.input->hasPartialRequest()) continue;
-        refuse(buffers);
-        timeOut(buffers);
+    for (auto& [bev, newConnection] : newConnections_) {
+        if (closedByEvhttp(bev) || !newConnection.input->hasPartialRequest()) continue;
+        refuse(bev);
+        closeViaTimeoutEvent(bev);
         newConnection.input.reset();
-        lingeringCloses_.add(std::move(newConnection.buffers));
+        lingeringCloses_.add(std::move(newConnection.bev));
     }
-    std::erase_if(newConnections_, [](const auto& e) { return e.second.buffers == nullptr; });
+    std::erase_if(newConnections_, [](const auto& e) { return e.second.bev == nullptr; });
 }
 
 void HttpFront::flushOutput() {
     for (const auto& [connection, client] : connections_) {
-        bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
-        evbuffer* output = bufferevent_get_output(buffers);
-        evbuffer_unfreeze(output, 1);  // libevent allows only its own writes to remove
-        while (evbuffer_get_length(output) > 0 && evbuffer_write(output, bufferevent_getfd(buffers)) > 0) {
+        bufferevent* bev = evhttp_connection_get_bufferevent(connection);
+        evbuffer* output = bufferevent_get_output(bev);
+        evbuffer_unfreeze(output, 1);  // 1: the start; libevent allows only its own writes to remove
+        while (evbuffer_get_length(output) > 0 && evbuffer_write(output, bufferevent_getfd(bev)) > 0) {
         }
         evbuffer_freeze(output, 1);
     }
@@ -367,30 +369,31 @@
     for (const auto& [lastUsedMs, connection] : idle) evhttp_connection_free(connection);
 }
 
-void HttpFront::closeSilentConnections(std::size_t maxCount, double silentMs) {
-    const double silentSince = dispatcher_.nowMs() - silentMs;
-    std::vector<std::pair<double, bufferevent*>> silent;
+void HttpFront::closeStalledConnections(std::size_t maxCount, double stalledMs) {
+    const double stalledSinceMs = dispatcher_.nowMs() - stalledMs;
+    std::vector<std::pair<double, bufferevent*>> stalled;
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
-    for (const auto& [buffers, newConnection] : newConnections_) {
-        if (newConnection.acceptedAtMs <= silentSince && !hasUnreadBytes(buffers))
-            silent.emplace_back(newConnection.acceptedAtMs, buffers);
+    for (const auto& [bev, newConnection] : newConnections_) {
+        if (newConnection.acceptedAtMs <= stalledSinceMs && !hasUnreadBytes(bev))
+            stalled.emplace_back(newConnection.acceptedAtMs, bev);
     }
     // This includes clients that send a request piece by piece: each piece restarts evhttp's own timeout.
     for (const auto& [connection, client] : connections_) {
-        bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
-        if (!client.isBusy() && client.lastUsedMs <= silentSince - limits_.clientIdleTimeoutMs &&
-            !hasUnreadBytes(buffers))
-            silent.emplace_back(client.lastUsedMs, buffers);
+        bufferevent* bev = evhttp_connection_get_bufferevent(connection);
+        if (!client.isBusy() && client.lastUsedMs <= stalledSinceMs - limits_.clientIdleTimeoutMs &&
+            !hasUnreadBytes(bev))
+            stalled.emplace_back(client.lastUsedMs, bev);
     }
-    std::sort(silent.begin(), silent.end());
-    silent.resize(std::min(silent.size(), maxCount));
-    for (const auto& [sinceMs, buffers] : silent) timeOut(buffers);
+    std::sort(stalled.begin(), stalled.end());
+    stalled.resize(std::min(stalled.size(), maxCount));
+    for (const auto& [sinceMs, bev] : stalled) closeViaTimeoutEvent(bev);
     std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
-    if (!silent.empty()) dispatcher_.counters().add("client_silent", silent.size());
+    if (!stalled.empty()) dispatcher_.counters().add("client_silent", stalled.size());
 }
 
 bool HttpFront::atConnectionLimit() const {
-    const int fd = fcntl(STDERR_FILENO, F_DUPFD_CLOEXEC, 0);  // the lowest free descriptor
+    // The lowest free descriptor number tells about how many descriptors are open.
+    const int fd = fcntl(STDERR_FILENO, F_DUPFD_CLOEXEC, 0);
     if (fd >= 0) ::close(fd);
     return fd < 0 || static_cast<std::size_t>(fd) + limits_.reservedDescriptors >= limits_.maxDescriptors ||
            connectionCount() + lingeringCloses_.size() >= limits_.maxClientConnections;
@@ -430,12 +433,14 @@
     connectionCheckTimer_.start(0);
 }
 
-// At the connection limit silent connections are closed first, then those idle longest. Meanwhile new
-// connections wait in the listener's queue, and requests on the open connections are still served.
+// Connections stalled for `firstRequestTimeoutMs` are always closed. At the connection limit, those stalled
+// for a shorter time are closed too, then those idle longest; `reservedDescriptors` also serves as the number
+// of connections closed at once. Meanwhile new connections wait in the listener's queue, and requests on the
+// open connections are still served.
 void HttpFront::checkConnections() {
-    closeSilentConnections(newConnections_.size() + connections_.size(), limits_.firstRequestTimeoutMs);
+    closeStalledConnections(newConnections_.size() + connections_.size(), limits_.firstRequestTimeoutMs);
     if (atConnectionLimit()) {
-        closeSilentConnections(limits_.reservedDescriptors, limits_.crowdedFirstRequestTimeoutMs);
+        closeStalledConnections(limits_.reservedDescriptors, limits_.crowdedFirstRequestTimeoutMs);
         closeIdleConnections(limits_.reservedDescriptors, limits_.crowdedIdleTimeoutMs);
     }
     if (evacuating() && dispatcher_.nowMs() - *evacuatingSinceMs_ >= limits_.evacuateCloseDelayMs)
@@ -450,14 +455,14 @@
     self->dispatcher_.counters().add("client_connection");
     BuffereventRef connection = newBufferevent(base);
     if (!connection) return nullptr;
-    bufferevent* buffers = connection.get();
-    self->newConnections_[buffers] = {std::move(connection), self->dispatcher_.nowMs(),
-                                      std::make_unique<InputTracker>(buffers)};
+    bufferevent* bev = connection.get();
+    self->newConnections_[bev] = {std::move(connection), self->dispatcher_.nowMs(),
+                                  std::make_unique<InputTracker>(bev)};
     if (self->atConnectionLimit()) {  // before the next connection is accepted
         self->setAccepting(false);
         self->connectionCheckTimer_.start(0);
     }
-    return buffers;
+    return bev;
 }
 
 void HttpFront::onConnectionClosed(evhttp_connection* connection, void* arg) {
@@ -466,9 +471,9 @@
     if (client == self->connections_.end()) return;
     HttpRequestHandler* handler = client->second.handler;
     evhttp_request* streamedRequest = client->second.stream ? client->second.stream->request() : nullptr;
-    if (client->second.lingerOnClose) self->lingeringCloses_.add(std::move(client->second.buffers));
+    if (client->second.lingerOnClose) self->lingeringCloses_.add(std::move(client->second.bev));
     self->connections_.erase(client);
-    // evhttp has detached a request whose connection broke by itself; it has to be freed here.
+    // As in HttpRequestHandler::clientDisconnected().
     if (streamedRequest != nullptr && evhttp_request_get_connection(streamedRequest) == nullptr)
         evhttp_request_free(streamedRequest);
     if (handler != nullptr) handler->clientDisconnected();
@@ -480,35 +485,36 @@
 
 void HttpFront::handleRequest(evhttp_request* request) {
     evhttp_connection* connection = evhttp_request_get_connection(request);
-    const char* uri = evhttp_request_get_uri(request);
-    const std::string path = uri == nullptr ? "" : uri;
+    const char* rawUri = evhttp_request_get_uri(request);
+    const std::string uri = rawUri == nullptr ? "" : rawUri;
     const auto [client, isNew] = connections_.try_emplace(connection);
     client->second.lastUsedMs = dispatcher_.nowMs();
     if (isNew) {
         evhttp_connection_set_closecb(connection, onConnectionClosed, this);
-        bufferevent* buffers = evhttp_connection_get_bufferevent(connection);
+        bufferevent* bev = evhttp_connection_get_bufferevent(connection);
         auto newConnection =
-            newConnections_.extract(buffers);  // empty if onAccept() could not allocate a bufferevent
+            newConnections_.extract(bev);  // empty if onAccept() could not allocate a bufferevent
         client->second.input =
-            newConnection ? std::move(newConnection.mapped().input) : std::make_unique<InputTracker>(buffers);
-        if (newConnection) client->second.buffers = std::move(newConnection.mapped().buffers);
-        setTcpNoDelay(bufferevent_getfd(buffers));
+            newConnection ? std::move(newConnection.mapped().input) : std::make_unique<InputTracker>(bev);
+        if (newConnection) client->second.bev = std::move(newConnection.mapped().bev);
+        setTcpNoDelay(bufferevent_getfd(bev));
     }
     client->second.lingerOnClose = false;
-    // Bytes behind this request are the beginning of the next one.
+    // Bytes that follow this request are the beginning of the next one.
     const evbuffer* input = bufferevent_get_input(evhttp_connection_get_bufferevent(connection));
     client->second.input->requestStarted = evbuffer_get_length(input) > 0;
     std::string error;
     if (!validateFraming(request, error)) return rejectMalformed(request, error);
-    if (path == "/healthz" && (evacuating() || (readinessCheck_ && !readinessCheck_())))
+    if (uri == "/healthz" && (evacuating() || (readinessCheck_ && !readinessCheck_())))
         return sendReply(request, 503, "Service Unavailable", evacuating() ? "evacuated\n" : "no nodes\n");
-    if (path == "/healthz") return sendReply(request, 200, "OK", "ok\n");
-    if (path == "/counters") return sendReply(request, 200, "OK", dispatcher_.counters().toText());
-    if (const auto page = pages_.find(path); page != pages_.end())
+    if (uri == "/healthz") return sendReply(request, 200, "OK", "ok\n");
+    if (uri == "/counters") return sendReply(request, 200, "OK", dispatcher_.counters().toText());
+    if (const auto page = pages_.find(uri); page != pages_.end())
         return sendReply(request, 200, "OK", page->second());
     auto decoded = decodeRequest(request, settings_, dispatcher_.nowMs(), error);
     if (!decoded) return rejectMalformed(request, error);
-    // A client that pipelines requests may have disconnected by the time its next one is taken.
+    // A client that pipelines requests may have disconnected before this one is submitted. The answer, which
+    // nobody receives, lets evhttp free the request.
     if (!readAhead(evhttp_connection_get_bufferevent(connection), limits_.maxReadAheadBytes)) {
         dispatcher_.counters().add("client_gone_untaken");
         evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
@@ -523,7 +529,8 @@
     handler->sendAnswer({dispatched.id, AnswerStatus::refused, limits_.overloadRetryAfterMs});
 }
 
-// What follows a malformed request may not be a request at all, so the connection is closed after the answer.
+// After an error of the framing, the start of the next request is unknown, so the connection is closed after
+// the answer. The same is done after other errors.
 void HttpFront::rejectMalformed(evhttp_request* request, const std::string& error) {
     dispatcher_.counters().add("request_malformed");
     log_.warn("client", "malformed request", {{"reason", error}});
@@ -532,14 +539,14 @@
 }
 
 bool HttpFront::shouldCloseConnections() const {
-    // Near the connection limit an idle connection takes the place of another client.
+    // Above this limit, connections kept alive would take the places of new clients.
     return draining_ || listenerYielded_ || evacuating() ||
            connectionCount() > limits_.maxKeepAliveConnections;
 }
 
-// Closing would lose pipelined requests that have arrived behind this one, so these are answered first, at
-// most `maxRequestsWhileClosing` of them. To a client that keeps sending, "Connection: close" says that what
-// follows was not processed.
+// Closing would lose pipelined requests that have arrived after this one, so these are answered first, at
+// most `maxRequestsWhileClosing` of them. A client that has sent more learns from "Connection: close" that
+// the rest was not processed and has to be sent again.
 void HttpFront::decideConnectionClose(evhttp_request* request) {
     evhttp_connection* connection = evhttp_request_get_connection(request);
     const auto found = connections_.find(connection);
@@ -562,13 +569,13 @@
     evhttp_send_reply(request, code, reason, nullptr);
 }
 
-// The client detects a truncated answer by the missing bytes of Content-Length or by the missing last chunk.
-void HttpFront::streamDone(evhttp_connection* connection, bool complete) {
+void HttpFront::onStreamDone(evhttp_connection* connection, bool complete) {
     const auto client = connections_.find(connection);
     if (client == connections_.end()) return;
     const std::unique_ptr<ResponseStream> stream = std::move(client->second.stream);
     client->second.lastUsedMs = dispatcher_.nowMs();
     if (!complete) {
+        // The client detects the truncation by missing bytes of Content-Length or the missing last chunk.
         dispatcher_.counters().add("answer_cut");
         return evhttp_connection_free(connection);
     }
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -20,12 +20,20 @@
 class HttpRequestHandler;
 
 /// The HTTP server for clients. It also serves /healthz, /counters and further text pages.
+///
+/// State          Accepts connections   /healthz   Answers close their connections
+/// paused         no                    -          no
+/// yielded        no                    -          yes
+/// evacuating     yes                   503        yes; idle ones are closed after a delay
+/// draining       until closeListener() -          yes
+/// "-": not affected. Answers close their connections as decideConnectionClose() describes.
 class HttpFront {
 public:
-    /// `listener`: a socket that already listens at `listen`; -1: binds a new one. Throws std::runtime_error
-    /// if `listen` cannot be bound.
-    HttpFront(event_base* base, const Address& listen, Dispatcher& dispatcher, HttpNodeConnectionPool& pool,
-              const limedrum::ProgramSettings& settings, const Limits& limits, Log& log, int listener = -1);
+    /// `inheritedListenFd`: a socket that already listens at `listenAddress`; -1: binds a new one. Throws
+    /// std::runtime_error if it cannot listen.
+    HttpFront(event_base* base, const Address& listenAddress, Dispatcher& dispatcher,
+              HttpNodeConnectionPool& pool, const limedrum::ProgramSettings& settings, const Limits& limits,
+              Log& log, int inheritedListenFd = -1);
     ~HttpFront();
     HttpFront(const HttpFront&) = delete;
     HttpFront& operator=(const HttpFront&) = delete;
@@ -34,35 +42,38 @@
     void addTextPage(const std::string& path, std::function<std::string()> text) {
         pages_[path] = std::move(text);
     }
-    /// GET /healthz answers 503 while `ready` returns false.
+    /// GET /healthz answers 503 with the text "no nodes" while `ready` returns false.
     void setReadinessCheck(std::function<bool()> ready) { readinessCheck_ = std::move(ready); }
-    /// `on`: another process accepts the connections of the shared listening socket. This one stops
-    /// accepting, and each answer closes its connection.
+    /// `on`: stops accepting, since another process accepts the connections of the shared listening socket
+    /// (during an upgrade), and lets answers close their connections. `on` = false: accepts again.
     void setListenerYielded(bool on);
     /// Returns the listening socket, or -1 once it is closed.
     [[nodiscard]] int listenerFd() const;
     /// Leaves new connections in the listener's queue until resumeAccepting().
     void pauseAccepting();
     void resumeAccepting();
-    /// `on`: sends clients away. /healthz answers 503, each answer closes its connection, and idle
-    /// connections are closed after `evacuateCloseDelayMs`, by when new ones have stopped coming.
+    /// `on`: makes clients reconnect elsewhere. Still accepts connections and requests, but /healthz answers
+    /// 503, answers close their connections, and after `evacuateCloseDelayMs`, which gives load balancers
+    /// time to notice /healthz, idle connections are closed.
     void setEvacuating(bool on);
     [[nodiscard]] bool evacuating() const { return evacuatingSinceMs_.has_value(); }
-    /// From now on each answer closes its connection.
+    /// From now on answers close their connections.
     void startDraining() { draining_ = true; }
-    /// Closes the listener once the connections in its queue have been accepted, or at once and without them
-    /// (`atOnce`). Returns whether the listener is closed; to be called again until it is.
+    /// Closes the listener once the connections in its queue have been accepted, for which it ends a pause of
+    /// accepting. With `atOnce`, or if another process shares the listener, closes it without accepting them.
+    /// Returns whether the listener is closed; to be called again until it is.
     [[nodiscard]] bool closeListener(bool atOnce);
-    /// Closes the connections without a request in progress or unsent output. `refusePartial`: also refuses
-    /// requests that have arrived in part, and closes their connections.
+    /// Closes idle connections: those without a request in progress, unprocessed input or unsent output.
+    /// New connections without a request are kept for `shutdownFirstRequestTimeoutMs`. `refusePartial`:
+    /// also refuses requests that have arrived in part, and closes their connections.
     void closeFinishedConnections(bool refusePartial);
-    /// Returns whether no connection is left that may still bring a request, and all answers have been
-    /// delivered.
+    /// Returns whether no connection is open and the lingering closes have delivered all answers.
     [[nodiscard]] bool isDrained() const;
     /// Writes as much of the pending answers to the sockets as the kernel accepts. For the exit, when the
     /// event loop no longer runs.
     void flushOutput();
-    /// Returns the number of open client connections.
+    /// Returns the number of client connections, without lingering closes. May include connections without a
+    /// request that evhttp has closed already.
     [[nodiscard]] std::size_t connectionCount() const { return connections_.size() + newConnections_.size(); }
 
 private:
@@ -73,25 +84,27 @@
     void handleRequest(evhttp_request* request);
     void sendReply(evhttp_request* request, int code, const char* reason, std::string body = "");
     void rejectMalformed(evhttp_request* request, const std::string& error);
-    /// Adds "Connection: close" to the answer if its connection should be closed after it.
+    /// Adds "Connection: close" to the answer if answers should close their connections, except that up to
+    /// `maxRequestsWhileClosing` pipelined requests are answered first. Sets Client::lingerOnClose.
     void decideConnectionClose(evhttp_request* request);
     /// Returns whether answers should close their connections.
     [[nodiscard]] bool shouldCloseConnections() const;
-    /// Answers requests that have arrived in part with 503 and closes their connections. Such requests never
-    /// ran.
+    /// Answers requests that have arrived in part with 503 and closes their connections. Clients can
+    /// safely repeat them, since nothing was executed.
     void refusePartialRequests();
-    /// Ends a streamed answer. If it is not complete, closes the connection.
-    void streamDone(evhttp_connection* connection, bool complete);
+    /// Called when a streamed answer has ended. If it is not complete, closes the connection.
+    void onStreamDone(evhttp_connection* connection, bool complete);
     /// Closes at most `maxCount` connections that have been idle for `idleMs` or longer, the longest idle
     /// first. Their clients can reconnect.
     void closeIdleConnections(std::size_t maxCount, double idleMs);
-    /// Closes at most `maxCount` connections without a complete request since they were accepted `silentMs`
-    /// or longer ago, or, after a request, for `silentMs` plus the idle timeout. The longest silent go first.
-    void closeSilentConnections(std::size_t maxCount, double silentMs);
+    /// Closes at most `maxCount` connections that were accepted `stalledMs` or longer ago without a complete
+    /// request since, or whose last use was `stalledMs` plus `clientIdleTimeoutMs` or longer ago. They may
+    /// have sent part of a request, but have no unread bytes. The longest stalled are closed first.
+    void closeStalledConnections(std::size_t maxCount, double stalledMs);
     /// Returns whether too many descriptors or connections are in use to accept another connection.
     bool atConnectionLimit() const;
     void setAccepting(bool on);
-    /// Runs periodically: closes silent and idle connections, and decides whether new ones are accepted.
+    /// Runs periodically: closes stalled and idle connections, and decides whether new ones are accepted.
     void checkConnections();
 
     event_base* base_;
@@ -102,32 +115,33 @@
     Log& log_;
     bool draining_ = false;
     bool listenerYielded_ = false;
-    std::optional<double> evacuatingSinceMs_;  // clock time in ms; nothing: not evacuating
+    std::optional<double> evacuatingSinceMs_;  // clock time in ms; nullopt: not evacuating
     bool accepting_ = true;
     bool acceptingPaused_ = false;
     /// Tracks whether bytes have arrived on a connection since its last complete request. The length of the
     /// input buffer alone does not tell, since evhttp removes the headers from it before the body has
-    /// arrived.
+    /// arrived. handleRequest() resets `requestStarted` when it takes a request.
     struct InputTracker {
-        explicit InputTracker(bufferevent* connection);
+        explicit InputTracker(bufferevent* connectionBev);
         ~InputTracker();
         InputTracker(const InputTracker&) = delete;
         InputTracker& operator=(const InputTracker&) = delete;
-        /// Returns whether no bytes have arrived since and all output is written.
+        /// Returns whether no bytes have arrived since the last complete request and all output is written.
         bool isIdle() const;
         /// Returns whether part of a request has arrived, nothing is left to read and all output is written.
+        /// Meaningful only while no request of the connection is in progress.
         bool hasPartialRequest() const;
 
-        bufferevent* buffers;
-        bool requestStarted = false;
+        bufferevent* bev;
+        bool requestStarted = false;  // bytes have arrived since the last complete request
 
     private:
         static void onInput(evbuffer*, const evbuffer_cb_info* info, void* self);
     };
     struct Client {
-        BuffereventRef buffers;                  // keeps the descriptor for a lingering close
-        bool lingerOnClose = false;              // the present answer closes the connection
-        std::size_t answersWhileClosing = 0;     // answers since the connection should be closed
+        BuffereventRef bev;                      // holds the descriptor open for lingerOnClose
+        bool lingerOnClose = false;              // on close, drop input for a while: net/lingering_closes.h
+        std::size_t answersWhileClosing = 0;     // answers sent although the connection was to be closed
         HttpRequestHandler* handler = nullptr;   // of the request in progress, or null
         std::unique_ptr<ResponseStream> stream;  // the answer being streamed, or null
         double lastUsedMs = 0;                   // time of the last request or answer
@@ -139,9 +153,9 @@
     std::map<evhttp_connection*, Client> connections_;  // with at least one request
     // A connection without any request so far. evhttp reports a connection only with its first request, so a
     // reference to its bufferevent is kept until then. When evhttp closes the connection, it removes the
-    // bufferevent's callbacks.
+    // bufferevent's callbacks, by which closedByEvhttp() recognises that.
     struct NewConnection {
-        BuffereventRef buffers;
+        BuffereventRef bev;
         double acceptedAtMs = 0;
         std::unique_ptr<InputTracker> input;
     };
