--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -28,7 +28,8 @@
     /// Cancels an attempt, as cancelAttempt() does, and returns true if no byte of it was sent. Otherwise
     /// does nothing and returns false.
     virtual bool cancelIfUnsent(int attempt) = 0;
-    /// Sends the final answer to the client. Called at most once, and not after clientDisconnected().
+    /// Sends the final answer to the client. Called at most once. Must do nothing if the client has
+    /// disconnected.
     virtual void sendAnswer(const Answer& answer) = 0;
 };
 
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -127,6 +127,7 @@
                 return front_.sendReply(request, 200, "OK", std::move(servedReply_.body));
             case AnswerStatus::refused:
                 if (answer.retryAfterMs > 0) {
+                    // With fractions, unlike RFC 9110: the advice may be shorter than a second.
                     char seconds[32];
                     std::snprintf(seconds, sizeof seconds, "%.3f", answer.retryAfterMs / 1000);
                     evhttp_add_header(headers, "Retry-After", seconds);
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -27,6 +27,11 @@
 /// evacuating     yes                   503        yes; idle ones are closed after a delay
 /// draining       until closeListener() -          yes
 /// "-": not affected. Answers close their connections as decideConnectionClose() describes.
+///
+/// Counters: request_partial_refused: requests refused that had arrived in part. client_silent: stalled
+/// connections closed. client_crowd: times that accepting stopped at the connection limit.
+/// client_gone_untaken: requests whose client disconnected before they were submitted. request_not_taken:
+/// requests that the dispatcher did not accept. answer_cut: streamed answers that were truncated.
 class HttpFront {
 public:
     /// `inheritedListenFd`: a socket that already listens at `listenAddress`; -1: binds a new one. Throws
--- a/src/limedrum/bids.h
+++ b/src/limedrum/bids.h
@@ -14,8 +14,8 @@
 
 namespace limedrum {
 
-/// Identifies what is queued, bid for and measured together: a shard, by its number, or one weighted holder
-/// of a shard, by holderCellId().
+/// Identifies what is queued, bid for and measured together: a shard, by its number, which is not negative,
+/// or one weighted holder of a shard, by holderCellId(), which is below -1. -1: no cell.
 using CellId = std::int64_t;
 
 /// The figures of one host for a cell in the last round, or their sum over all bidders.
--- a/src/limedrum/scheduler_impl.h
+++ b/src/limedrum/scheduler_impl.h
@@ -227,7 +227,8 @@
     void sendBidSums();
     void sendBidMessage(int to, const BidMessage& message);
     void receiveBidMessage(int sender, const BidMessage& message);
-    // Returns whether a node served most of its units under overload.
+    // Returns whether a node served most of its units under overload, and more than kMinRequestsPerRound
+    // requests of mean size.
     bool showsSaturation(const Bid& sum) const;
     // Updates the learned rate of a cell's node. What a saturated node served is a sample of its rate; what
     // any other node served is a lower bound.
--- a/src/limedrum/state.h
+++ b/src/limedrum/state.h
@@ -137,7 +137,8 @@
         it = it->second.isUnusedSince(beforeMs) ? table.erase(it) : std::next(it);
 }
 
-/// An open request: one without its final answer.
+/// The record of an open request, one without its final answer. (martencove::Request in core/values.h is the
+/// request as the fronts pass it on.)
 struct Request {
     RequestEvent spec;
     double arrivalMs = 0;
@@ -166,7 +167,7 @@
     /// Each coordinator of blockingBudget was asked, none may still answer, and the units are not covered.
     bool noGrantObtained = false;
 };
-/// An attempt whose outcome has not been reported; it may outlast its request.
+/// The record of an attempt whose outcome has not been reported; it may outlast its request.
 struct Attempt {
     NodeId node = 0;
     CellId cell = 0;
@@ -185,7 +186,7 @@
     int shard = 0;
     double weight = 0;           // share relative to the shard's other holders, in a cell of its own;
                                  // 0: unweighted, in the shard's common cell
-    bool inCellHolders = false;  // false before it is first attached to its cell
+    bool inCellHolders = false;  // in the `holders` of `cell`; false for a new node
     int zone = 0;
     NodeState state = NodeState::gone;
     double bootMs = 0;  // start time by the scheduler's clock; 0: long ago
@@ -194,7 +195,7 @@
     int sendsSinceAnswer = 0;
     double silenceCountsFromMs = 0;     // last answer, or later send while nothing was in flight
     double latestAnsweredSendMs = 0;    // latest send time of an answered attempt; older ones may be lost
-    double usualMsPerUnit = 0;          // low quantile (kUnitTimeQuantile) of answer times; 0: not known
+    double usualMsPerUnit = 0;          // low quantile (kUnitTimeQuantile) of answer time; 0: not known
     double lastDelaySampleMs = 0;       // when smoothedDelayMs was last updated
     double smoothedDelayMs = 0;         // smoothed excess of answer times over usualMsPerUnit
     double unitsPerSecond = 0;          // capacity for all hosts together; 0: not known
@@ -204,9 +205,8 @@
     double lastOverloadSignMs = 0;
     double localOverloadUntilMs = 0;     // end of the overload that this host observed
     double reportedOverloadUntilMs = 0;  // end of the overload shown by all hosts' bids
-    double lastSaturatedMs =
-        -std::numeric_limits<double>::infinity();  // when a bid sum, or without one this host's bid,
-    // last showed saturation
+    /// When the node last counted as saturated: by a bid sum, or without one by this host's own bid.
+    double lastSaturatedMs = -std::numeric_limits<double>::infinity();
     double silentSinceMs = 0;       // since when it counts as silent; 0: not silent
     double lastTrialAttemptMs = 0;  // last attempt to find whether the silent node answers, or when
                                     // silence was detected
@@ -225,9 +225,9 @@
     overLimit,           // the plan's limit did not cover the request in time
     coldNode,            // a cold node's budget did not cover the request in time
     nodeUnreachable,     // the node does not answer, or no node serves the cell
-    refusedAtAdmission,  // refused on arrival, because its node is overloaded
-    shedForOverload,     // of least worth in an overloaded queue that cannot all be served in time
-    notStartedInTime,    // no attempt started within kFirstAttemptTimeFraction, expired, or shut down
+    refusedAtAdmission,  // refused on arrival by shouldThin(), because its node is overloaded
+    shedForOverload,     // of least worth in an overloaded queue that cannot be served in time as a whole
+    notStartedInTime,    // no attempt by kFirstAttemptTimeFraction of its time or by a shutdown, or expired
     notRepeated,         // an attempt failed, and a repeat is not allowed or has no prospect
     causeCount
 };
@@ -251,13 +251,13 @@
 struct WorthDemand {
     double offeredThisRound = 0;
     double offeredLastRound = 0;
-    double admitProbability = 1;  // while the node is overloaded
+    double admitProbability = 1;  // from updateAdmissionProbabilities(); used while the node is overloaded
 };
 /// The units that clients of a volume offer to a cell through this host.
 struct Demand {
     double offeredThisRound = 0;
     double offeredLastRound = 0;
-    double fairUnitsPerSecond = 0;                          // this host's share for the volume in the cell
+    double fairUnitsPerSecond = 0;                          // this host's share, see distributeByWeight()
     std::map<double, WorthDemand, std::greater<>> byWorth;  // by ClassSettings::worth, highest first
 };
 /// A volume's claim on a node's capacity.
