--- a/src/core/dispatcher.h
+++ b/src/core/dispatcher.h
@@ -35,8 +35,8 @@
 
 /// Functions of the event loop and the network that the dispatcher calls.
 struct DispatcherCallbacks {
-    std::function<void(double ms)>
-        scheduleTick;  ///< calls Dispatcher::tick() after `ms`, instead of at the time scheduled before
+    /// Calls Dispatcher::tick() after `ms`, instead of at the time scheduled before.
+    std::function<void(double ms)> scheduleTick;
     std::function<void(const PeerMessage&)> sendToPeer;
     std::function<void(const std::string&)> writeLog;
 };
--- a/src/limedrum/admission.cpp
+++ b/src/limedrum/admission.cpp
@@ -48,21 +48,21 @@
     recordDemand(request);
     Node* node = servingNode(fleet_.cellForUpdate(request.cell));
     // A request that its holder would refuse goes to another holder that is not overloaded.
-    bool thinned = node != nullptr && !isBlockedAsSilent(*node) &&
+    bool refused = node != nullptr && !isBlockedAsSilent(*node) &&
                    shouldThin(fleet_.cellForUpdate(request.cell), *node, request);
-    if (const CellId targetCell = thinned ? route(request, node, true) : request.cell;
+    if (const CellId targetCell = refused ? route(request, node, true) : request.cell;
         targetCell != request.cell) {
         request.cell = targetCell;
         recordDemand(request);
         node = servingNode(fleet_.cellForUpdate(targetCell));
-        thinned = false;
+        refused = false;
     }
     Cell& cell = fleet_.cellForUpdate(request.cell);
     Demand& demand = cell.volumes[event.volume];
     request.worthPerUnit = classSettings.worth * planOf(volume.planNo).worthFactor *
                            (request.lateClientRetry ? classSettings.lateWorth : 1);
     if (node != nullptr && isBlockedAsSilent(*node)) return refuseOrFail(event.id, nodeUnreachable);
-    if (thinned) return refuseOrFail(event.id, refusedAtAdmission);
+    if (refused) return refuseOrFail(event.id, refusedAtAdmission);
     if (node != nullptr && demand.fairUnitsPerSecond > 0) {
         const double askedRate = expectedRate(demand.offeredThisRound, demand.offeredLastRound);
         if (askedRate > demand.fairUnitsPerSecond)
--- a/src/limedrum/scheduler_impl.h
+++ b/src/limedrum/scheduler_impl.h
@@ -112,8 +112,9 @@
     double reservedUnits(const Volume& volume, double askedUnits, double askedEverywhere,
                          double seconds) const;
     // Updates the probability with which each volume's requests are admitted at a node: the tokens left
-    // divided by the units expected, with tokens going to reserves first and then by weight. A hot volume is
-    // thinned before its neighbours, and within a volume the requests of the least worth per unit first.
+    // divided by the units expected, with tokens going to reserves first and then by weight. Requests of
+    // a hot volume are refused before those of its neighbours, and within a volume the requests of the least
+    // worth per unit first.
     void updateAdmissionProbabilities(Cell& cell, const Node& node);
     // Decides at random, by the admission probabilities, whether a request is refused at an overloaded node.
     bool shouldThin(Cell& cell, Node& node, const Request& request);
