--- a/src/limedrum/scheduler_impl.h
+++ b/src/limedrum/scheduler_impl.h
@@ -53,7 +53,7 @@
     bool observesOverload(const Node& node) const { return now_ < node.localOverloadUntilMs; }
     // Without recent answers of its own, this host relies on the overload that the bid sums report.
     bool lacksRecentAnswers(const Node& node) const {
-        return now_ - node.delayMeasuredMs > kOwnObservationMaxAgeMs;
+        return now_ - node.lastDelaySampleMs > kOwnObservationMaxAgeMs;
     }
     bool isOverloaded(const Node& node) const {
         return observesOverload(node) || (now_ < node.reportedOverloadUntilMs && lacksRecentAnswers(node));
@@ -112,8 +112,9 @@
     double reservedUnits(const Volume& volume, double askedUnits, double askedEverywhere,
                          double seconds) const;
     // Updates the probability with which each volume's requests are admitted at a node: the tokens left
-    // divided by the units expected, with tokens going to reserves first and then by weight. A hot volume is
-    // thinned before its neighbours, and within a volume the requests of the least worth per unit first.
+    // divided by the units expected, with tokens going to reserves first and then by weight. Requests of
+    // a hot volume are refused before those of its neighbours, and within a volume the requests of the least
+    // worth per unit first.
     void updateAdmissionProbabilities(Cell& cell, const Node& node);
     // Decides at random, by the admission probabilities, whether a request is refused at an overloaded node.
     bool shouldThin(Cell& cell, Node& node, const Request& request);
@@ -151,17 +152,17 @@
     double localBudgetFraction(BudgetId id) const;
     // Returns the units left in a part (`fraction`) of a budget. `ledgerStartMs` is the start of this host,
     // or -kNever for a node that started later, so that no earlier run of this host can have used its budget.
-    double availableUnits(BudgetPart& ledger, const Budget& budget, double fraction,
+    double availableUnits(BudgetLedger& ledger, const Budget& budget, double fraction,
                           double ledgerStartMs) const;
     void consumeBudget(BudgetId id, const std::optional<Budget>& budget, double units);
     int budgetCoordinator(BudgetId id, int coordinatorIndex) const;
     void sendBudgetMessage(int to, const BudgetMessage& message);
     void on(int sender, const BudgetMessage& message);
-    // Returns whether a request may be attempted again. `mayHaveRunSinceMs` is the time at which the first
-    // attempt that may have run was sent, or kNever.
-    bool mayRepeat(const Request& request, double mayHaveRunSinceMs) const;
+    // Returns whether a request may be attempted again. `earliestPossibleRunMs` is the time at which the
+    // first attempt that may have run was sent, or kNever.
+    bool mayRepeat(const Request& request, double earliestPossibleRunMs) const;
     // Returns the time by which the last byte of a repeat must be sent, including all waits on the way.
-    double repeatDeadlineMs(const Request& request, double mayHaveRunSinceMs) const;
+    double repeatDeadlineMs(const Request& request, double earliestPossibleRunMs) const;
     // Returns whether the retry budget of the rules permits one more attempt after a request's first.
     bool retryBudgetAllows();
     // Returns the last time at which the shutdown lets an attempt of the request begin.
@@ -227,7 +228,8 @@
     void sendBidSums();
     void sendBidMessage(int to, const BidMessage& message);
     void receiveBidMessage(int sender, const BidMessage& message);
-    // Returns whether a node served most of its units under overload.
+    // Returns whether a node served most of its units under overload, and more than kMinRequestsPerRound
+    // requests of mean size.
     bool showsSaturation(const Bid& sum) const;
     // Updates the learned rate of a cell's node. What a saturated node served is a sample of its rate; what
     // any other node served is a lower bound.
