--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -62,7 +62,7 @@
             useDiscovery = false;
             nodeFiles_->start(onNodes);
             httpFront_.addTextPage("/nodes", [this] { return nodeFiles_->statusText(); });
-            httpFront_.setReadinessCheck([this] { return nodeFiles_->ready(); });
+            httpFront_.setReadinessCheck([this] { return nodeFiles_->isReady(); });
         }
         if (sections.nbd) {
             nbdPool_.emplace(base_.get(), clock_, config_.limits, counters_);
@@ -100,7 +100,7 @@
         if (discovery_ && config_.limits.listPushed) {
             httpFront_.pauseAccepting();
             if (nbdFront_) nbdFront_->pauseAccepting();
-            discovery_->onFirstList([this] { startAccepting(); });
+            discovery_->setOnFirstList([this] { startAccepting(); });
             firstListTimer_.start(config_.limits.firstListTimeoutMs);
         } else
             startAccepting();
--- a/src/files/node_file_source.h
+++ b/src/files/node_file_source.h
@@ -142,7 +142,7 @@
 
     [[nodiscard]] std::string statusText() const;
     [[nodiscard]] LogFields statusFields() const { return monitor_.status().logFields(clock_.nowMs()); }
-    [[nodiscard]] bool ready() const { return appliedVersion_ > 0; }
+    [[nodiscard]] bool isReady() const { return appliedVersion_ > 0; }
     /// The last version that was passed on completely; 0: none yet.
     [[nodiscard]] std::uint64_t appliedVersion() const { return appliedVersion_; }
     /// The longest time slice so far, in ms.
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -256,7 +256,7 @@
     if (info->n_added == 0) return;
     self->requestStarted = true;
     // Input after evhttp has closed the connection is not consumed, so reading stops.
-    if (closedByEvhttp(self->bev)) bufferevent_disable(self->bev, EV_READ);
+    if (isClosedByEvhttp(self->bev)) bufferevent_disable(self->bev, EV_READ);
 }
 
 bool HttpFront::InputTracker::isIdle() const { return !requestStarted && !hasInput(bev) && !hasOutput(bev); }
@@ -316,7 +316,7 @@
         if (connection.acceptedAtMs <= acceptedBefore && connection.input->isIdle()) stalled.push_back(bev);
     for (bufferevent* bev : stalled) closeViaTimeoutEvent(bev);
     if (refusePartial) refusePartialRequests();
-    std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
+    std::erase_if(newConnections_, [](const auto& e) { return isClosedByEvhttp(e.first); });
 }
 
 void HttpFront::refusePartialRequests() {
@@ -333,7 +333,7 @@
     }
     for (evhttp_connection* connection : partial) evhttp_connection_free(connection);
     for (auto& [bev, newConnection] : newConnections_) {
-        if (closedByEvhttp(bev) || !newConnection.input->hasPartialRequest()) continue;
+        if (isClosedByEvhttp(bev) || !newConnection.input->hasPartialRequest()) continue;
         refuse(bev);
         closeViaTimeoutEvent(bev);
         newConnection.input.reset();
@@ -356,7 +356,7 @@
 bool HttpFront::isDrained() const {
     return connections_.empty() && lingeringCloses_.allDelivered() &&
            std::all_of(newConnections_.begin(), newConnections_.end(),
-                       [](const auto& entry) { return closedByEvhttp(entry.first); });
+                       [](const auto& entry) { return isClosedByEvhttp(entry.first); });
 }
 
 void HttpFront::closeIdleConnections(std::size_t maxCount, double idleMs) {
@@ -373,7 +373,7 @@
 void HttpFront::closeStalledConnections(std::size_t maxCount, double stalledMs) {
     const double stalledSinceMs = dispatcher_.nowMs() - stalledMs;
     std::vector<std::pair<double, bufferevent*>> stalled;
-    std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
+    std::erase_if(newConnections_, [](const auto& e) { return isClosedByEvhttp(e.first); });
     for (const auto& [bev, newConnection] : newConnections_) {
         if (newConnection.acceptedAtMs <= stalledSinceMs && !hasUnreadBytes(bev))
             stalled.emplace_back(newConnection.acceptedAtMs, bev);
@@ -388,7 +388,7 @@
     std::sort(stalled.begin(), stalled.end());
     stalled.resize(std::min(stalled.size(), maxCount));
     for (const auto& [sinceMs, bev] : stalled) closeViaTimeoutEvent(bev);
-    std::erase_if(newConnections_, [](const auto& e) { return closedByEvhttp(e.first); });
+    std::erase_if(newConnections_, [](const auto& e) { return isClosedByEvhttp(e.first); });
     if (!stalled.empty()) dispatcher_.counters().add("client_silent", stalled.size());
 }
 
--- a/src/membership/checks.cpp
+++ b/src/membership/checks.cpp
@@ -223,7 +223,7 @@
     std::set<std::string> servingRacks;  // with a serving node afterwards
     std::set<int> servingShards;
     for (const Member& member : after) {
-        if (!member.serving()) continue;
+        if (!member.isServing()) continue;
         servingRacks.insert(member.rack);
         servingShards.insert(member.shard);
     }
@@ -231,7 +231,7 @@
     std::map<int, std::size_t> lostShards;
     std::size_t serving = 0, lost = 0;
     for (const Member& member : before.members) {
-        if (!member.serving()) continue;
+        if (!member.isServing()) continue;
         ++serving;
         lost += !hasServingMember(after, member.name);
         if (!member.rack.empty() && !servingRacks.contains(member.rack)) ++lostRacks[member.rack];
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -56,7 +56,7 @@
 
 bool hasServingMember(const std::vector<Member>& sortedMembers, const std::string& name) {
     const Member* member = findMember(sortedMembers, name);
-    return member != nullptr && member->serving();
+    return member != nullptr && member->isServing();
 }
 
 std::vector<MemberChange> diffMemberships(const Membership* before, const Membership& after) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -26,7 +26,7 @@
     bool leaving = false;   ///< no longer listed; drains until it is removed
 
     /// Whether the node may get new work.
-    [[nodiscard]] bool serving() const { return state == MemberState::ready && !leaving && weight > 0; }
+    [[nodiscard]] bool isServing() const { return state == MemberState::ready && !leaving && weight > 0; }
     bool operator==(const Member&) const = default;
 };
 
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -107,7 +107,7 @@
     std::erase_if(leaving_, [&](const auto& entry) { return findMember(members, entry.first) != nullptr; });
     if (current_) {
         for (const Member& member : current_->members) {
-            if (member.serving() && !hasServingMember(members, member.name)) lostAtMs_[member.name] = nowMs;
+            if (member.isServing() && !hasServingMember(members, member.name)) lostAtMs_[member.name] = nowMs;
             if (member.leaving || findMember(members, member.name) != nullptr) continue;
             LeavingMember& leaving = leaving_[member.name];
             leaving = {member, nowMs + rules_.removalDrainMs};
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -31,7 +31,7 @@
     /// Whether a well-formed list has been received since the start.
     [[nodiscard]] bool hasReceivedList() const { return hasReceivedList_; }
     /// Sets the callback that is run once, when the first well-formed list is received.
-    void onFirstList(std::function<void()> callback) { onFirstList_ = std::move(callback); }
+    void setOnFirstList(std::function<void()> callback) { onFirstList_ = std::move(callback); }
 
 private:
     [[nodiscard]] std::unique_ptr<ListWatch> makeWatch(Address address, std::int64_t version,
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -41,7 +41,7 @@
     return BuffereventRef(buffers);
 }
 
-bool closedByEvhttp(bufferevent* buffers) {
+bool isClosedByEvhttp(bufferevent* buffers) {
     bufferevent_event_cb onEvent = nullptr;
     bufferevent_getcb(buffers, nullptr, nullptr, &onEvent, nullptr);
     return onEvent == nullptr;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -37,7 +37,7 @@
 /// Returns another reference to a bufferevent.
 [[nodiscard]] BuffereventRef addReference(bufferevent* buffers);
 /// Whether evhttp has closed the connection of a bufferevent that is still referenced.
-[[nodiscard]] bool closedByEvhttp(bufferevent* buffers);
+[[nodiscard]] bool isClosedByEvhttp(bufferevent* buffers);
 
 /// Disables Nagle's algorithm, so that small writes and the end of long ones do not wait for
 /// acknowledgements.
--- a/src/ops/front.cpp
+++ b/src/ops/front.cpp
@@ -65,7 +65,7 @@
 }
 
 void Front::closeTimedOutCallers() {
-    std::erase_if(callers_, [](const Caller& caller) { return closedByEvhttp(caller.buffers.get()); });
+    std::erase_if(callers_, [](const Caller& caller) { return isClosedByEvhttp(caller.buffers.get()); });
     // evhttp's own timeout restarts with each byte.
     const double acceptedBefore = clock_.nowMs() - limits_.opsRequestTimeoutMs;
     while (!callers_.empty() && callers_.front().acceptedAtMs < acceptedBefore) {
