--- a/include/limedrum/scheduler.h
+++ b/include/limedrum/scheduler.h
@@ -93,7 +93,7 @@
     double withinShare = 1;  ///< factor on the worth of units beyond the reserve, within the fair share
     double spareWorth = 1;   ///< factor on the worth of units beyond the reserve and the fair share
     bool reportsUnitsViaOtherHosts = false;  ///< OutcomeEvent::unitsViaOtherHosts is filled in
-    double meterMs = 0;                      ///< period of OutcomeEvent::utilizationPct; 0: not measured
+    double meterMs = 0;                      ///< period of OutcomeEvent::utilizationPct; 0: no meter
     int attemptCap = 1;                      ///< attempts per request, the first included
     bool mayCancel = false;
     bool mayRunAttemptsInParallel = false;  ///< a request may have two attempts in flight
--- a/src/core/limits.h
+++ b/src/core/limits.h
@@ -54,7 +54,7 @@
     std::size_t maxNbdOptions = 64;         // per handshake
     std::size_t maxNbdReplyChunks = 1024;   // per reply
     std::size_t maxOpsConnections = 32;     // at the ops address
-    std::size_t maxLogLinesPerSecond = 20;  // per kind of log line
+    std::size_t maxLogLinesPerSecond = 20;  // per part of the program, without Log::info()
 
     // Times, in ms.
     double connectTimeoutMs = 250;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -72,9 +72,8 @@
         "to a node now, which wait and which are refused, and answers each exactly once.",
         "martencove"};
     app.footer(
-        "The environment variable NODE_CONFIG names the configuration file. Exit codes: 0 success, 1 "
-        "failure, "
-        "2 wrong usage, 3 the checked input is invalid.");
+        "The environment variable NODE_CONFIG names the configuration file. "
+        "Exit codes: 0 success, 1 failure, 2 wrong usage, 3 the checked input is invalid.");
     app.require_subcommand(0, 1);
     std::string file;
     const auto addOperatorOption = [&](CLI::App& command) {
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -25,7 +25,7 @@
 using Snapshot = std::map<std::string, std::string>;
 
 // Proxies use degraded endpoints only if the healthy ones do not suffice. So the work of a shard goes to the
-// node that is chosen for new work.
+// node that receives new work.
 endpoint::HealthStatus healthStatus(const NodeStatus& status) {
     if (status.node.state == NodeState::draining) return endpoint::DRAINING;
     if (status.unresponsive) return endpoint::UNHEALTHY;
