--- a/tests/program/program_harness.h
+++ b/tests/program/program_harness.h
@@ -22,8 +22,9 @@
 
 using Json = nlohmann::json;
 
-/// A loopback address whose port stays bound, without listening, for the lifetime of the object, so that the
-/// system assigns the port to no other socket. The program can still bind it and listen on it.
+/// A loopback address whose TCP port stays bound, without listening, for the lifetime of the object, so that
+/// the system assigns it to no other TCP listener or TCP connection, while the program can still bind it and
+/// listen on it. A UDP socket of another process may still have the same port number.
 struct ReservedAddress : Address {
     ReservedAddress();
     ~ReservedAddress();
